--- a/autoscaler/src/main/java/martenloom/autoscaler/ScaleSettings.java
+++ b/autoscaler/src/main/java/martenloom/autoscaler/ScaleSettings.java
@@ -3,7 +3,9 @@
 import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.Map;
-import martenloom.common.error.Fault;
+import martenloom.common.error.InvalidConfigurationException;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.error.UsageException;
 
 /**
  * What the operator may set of the scaling of one model, with the project's defaults and the ranges
@@ -97,11 +99,9 @@
         return (int) v;
     }
 
-    private static Fault bad(String model, Field f, String why) {
-        return Fault.here(
-                Fault.Code.CONFIGURATION,
-                "check autoscaling",
-                "model '" + model + "' " + f.name + ": " + why);
+    private static MartenloomException bad(String model, Field f, String why) {
+        return new InvalidConfigurationException(
+                "check autoscaling", "model '" + model + "' " + f.name + ": " + why);
     }
 
     /** Reads words such as window=60,delay=900: the defaults of a daemon. */
@@ -115,8 +115,7 @@
                             .findFirst()
                             .orElseThrow(
                                     () ->
-                                            Fault.here(
-                                                    Fault.Code.USAGE,
+                                            new UsageException(
                                                     "read command line",
                                                     "--scaling: '"
                                                             + w
@@ -126,8 +125,7 @@
             try {
                 m.put(f, Double.parseDouble(w.substring(i + 1)));
             } catch (NumberFormatException e) {
-                throw Fault.here(
-                        Fault.Code.USAGE,
+                throw new UsageException(
                         "read command line",
                         "--scaling: " + f.word + " '" + w.substring(i + 1) + "' is not a number");
             }
--- a/autoscaler/src/test/java/martenloom/autoscaler/ScaleMachineTest.java
+++ b/autoscaler/src/test/java/martenloom/autoscaler/ScaleMachineTest.java
@@ -9,7 +9,7 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Random;
-import martenloom.common.error.Fault;
+import martenloom.common.error.MartenloomException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -239,18 +239,18 @@
     @Test
     void valuesOutOfRangeNameModelFieldAndRange() {
         for (var f : ScaleSettings.Field.values()) {
-            var x = assertThrows(Fault.class, () -> settings(f, -1));
+            var x = assertThrows(MartenloomException.class, () -> settings(f, -1));
             assertTrue(
                     x.getMessage().contains("'m' " + f.name) && x.getMessage().contains("from"),
                     x.getMessage());
         }
-        assertThrows(Fault.class, () -> settings(ScaleSettings.Field.STEP, 51));
-        assertThrows(Fault.class, () -> settings(ScaleSettings.Field.WINDOW, 9.5));
+        assertThrows(MartenloomException.class, () -> settings(ScaleSettings.Field.STEP, 51));
+        assertThrows(MartenloomException.class, () -> settings(ScaleSettings.Field.WINDOW, 9.5));
         assertThrows(
-                Fault.class,
+                MartenloomException.class,
                 () -> settings(ScaleSettings.Field.FLOOR, 3, ScaleSettings.Field.CEILING, 2));
-        assertThrows(Fault.class, () -> ScaleSettings.parse("window"));
-        assertThrows(Fault.class, () -> ScaleSettings.parse("wondow=3"));
+        assertThrows(MartenloomException.class, () -> ScaleSettings.parse("window"));
+        assertThrows(MartenloomException.class, () -> ScaleSettings.parse("wondow=3"));
         assertEquals(10, ScaleSettings.parse("window=10,delay=5").windowS());
     }
 
--- /dev/null
+++ b/common/src/main/java/martenloom/common/fleet/RecordType.java
@@ -0,0 +1,76 @@
+package martenloom.common.fleet;
+
+/**
+ * The types of the records between daemons: the first byte of each record. The numbers are part of
+ * the wire format and never change; 1 to 39 are the messages of the chain, see {@code
+ * ChainMessage}.
+ */
+public final class RecordType {
+    /** Between core daemons: rows of the registry that changed. */
+    public static final int REGISTRY_UPDATE = 40;
+
+    /** Between core daemons: digests of the registry by range, to find what was missed. */
+    public static final int REGISTRY_DIGEST = 41;
+
+    /** Between core daemons: an order handed to the head of the chain. */
+    public static final int ORDER_REQUEST = 42;
+
+    /** The answer to {@link #ORDER_REQUEST}, {@link #EDGE_REQUEST} or a confirmed update. */
+    public static final int ORDER_RESPONSE = 43;
+
+    /** An edge, or its home, asks for a lease on a singleton role. */
+    public static final int LEASE_REQUEST = 44;
+
+    /** The head grants a lease, or a home passes the grant on. */
+    public static final int LEASE_GRANT = 45;
+
+    /** The first record on a link between core daemons: who dials, and from which region. */
+    public static final int HELLO = 46;
+
+    /** Between core daemons: the addresses of the core daemons that the sender reaches. */
+    public static final int KNOWN_PEERS = 47;
+
+    /** Like {@link #REGISTRY_UPDATE}, but its receipt is confirmed by an answer. */
+    public static final int CONFIRMED_REGISTRY_UPDATE = 48;
+
+    /** An edge renews its lease with its home. */
+    public static final int EDGE_LEASE_RENEWAL = 60;
+
+    /** The answer to {@link #EDGE_LEASE_RENEWAL}. */
+    public static final int EDGE_LEASE_RESPONSE = 61;
+
+    /** From a home to its edges: the committed configuration and cluster state they need. */
+    public static final int CONFIGURATION = 62;
+
+    /** From a home to its edges: replicas that changed, or all of them. */
+    public static final int REPLICA_UPDATE = 63;
+
+    /** An edge asks its home for all replicas and the whole configuration. */
+    public static final int RESYNC_REQUEST = 64;
+
+    /** From a home to the holder of the role: the live jobs of its region. */
+    public static final int JOB_LIST = 65;
+
+    /** An edge sends an order of a singleton role to the core. */
+    public static final int EDGE_REQUEST = 66;
+
+    /** An edge reports its own part of the load to its home. */
+    public static final int LOAD_SAMPLE = 80;
+
+    /** An overload report of a region and model. */
+    public static final int OVERLOAD_REPORT = 81;
+
+    /** Between homes: the sum over the edges of the sender. */
+    public static final int HOME_LOAD = 82;
+
+    /** From a home to its edges: the sum over all homes. */
+    public static final int TOTAL_LOAD = 83;
+
+    /** A query of the operator's shell. */
+    public static final int SHELL_QUERY = 90;
+
+    /** The answer to {@link #SHELL_QUERY}, in plain text. */
+    public static final int SHELL_RESPONSE = 91;
+
+    private RecordType() {}
+}
--- a/common/src/main/java/martenloom/common/jobs/Job.java
+++ b/common/src/main/java/martenloom/common/jobs/Job.java
@@ -3,7 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 
 /**
  * One deferred job as the core keeps it and an edge runs it. Its states are explicit; how urgent it
@@ -95,12 +96,12 @@
     }
 
     public Job copy() {
-        var o = new Codec.Out();
+        var o = new RecordWriter();
         write(o);
-        return read(new Codec.In(o.bytes(), false));
+        return read(new RecordReader(o.bytes(), false));
     }
 
-    public void write(Codec.Out o) {
+    public void write(RecordWriter o) {
         o.text(id)
                 .text(region)
                 .text(method)
@@ -123,7 +124,7 @@
         o.flag(confirmed).i64(endedUs).text(why);
     }
 
-    public static Job read(Codec.In in) {
+    public static Job read(RecordReader in) {
         var j = new Job();
         j.id = in.text();
         j.region = in.text();
--- a/common/src/main/java/martenloom/common/link/PendingRequests.java
+++ b/common/src/main/java/martenloom/common/link/PendingRequests.java
@@ -6,7 +6,8 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 
 /**
  * The requests that a daemon has sent to others and that are not answered yet. A request is named
@@ -25,11 +26,11 @@
      * The id of one request: a number drawn at random in each life of its sender, and a counter.
      */
     public record RequestId(long life, long number) {
-        public void write(Codec.Out out) {
+        public void write(RecordWriter out) {
             out.i64(life).i64(number);
         }
 
-        public static RequestId read(Codec.In in) {
+        public static RequestId read(RecordReader in) {
             return new RequestId(in.i64(), in.i64());
         }
     }
--- a/common/src/main/java/martenloom/common/load/LoadSummary.java
+++ b/common/src/main/java/martenloom/common/load/LoadSummary.java
@@ -3,7 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 
 /**
  * What edges see of the replicas' load, as it is added up on its way: an edge tells its own part to
@@ -121,7 +122,7 @@
         return t;
     }
 
-    public Codec.Out write(Codec.Out o) {
+    public RecordWriter write(RecordWriter o) {
         o.i32(edges)
                 .list(
                         loads.entrySet(),
@@ -138,7 +139,7 @@
         return o.list(flights.entrySet(), (w, e) -> w.text(e.getKey()).i32(e.getValue()));
     }
 
-    public static LoadSummary read(Codec.In in) {
+    public static LoadSummary read(RecordReader in) {
         var t = new LoadSummary();
         t.edges = in.i32();
         in.list(
--- a/common/src/main/java/martenloom/common/settings/Settings.java
+++ b/common/src/main/java/martenloom/common/settings/Settings.java
@@ -11,7 +11,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import martenloom.common.error.Fault;
+import martenloom.common.error.InvalidSettingsException;
+import martenloom.common.error.MartenloomException;
 
 /**
  * The settings of one daemon, read from the settings file and checked field by field; a fault names
@@ -109,15 +110,13 @@
 
     public static Settings load(String path) {
         if (path.isBlank()) {
-            throw Fault.here(
-                    Fault.Code.SETTINGS, "read settings", "MARTENLOOM_NODE_FILE is not set");
+            throw new InvalidSettingsException("read settings", "MARTENLOOM_NODE_FILE is not set");
         }
         String text;
         try {
             text = Files.readString(Path.of(path));
         } catch (IOException e) {
-            throw Fault.here(
-                    Fault.Code.SETTINGS,
+            throw new InvalidSettingsException(
                     "read settings",
                     path + " cannot be read (" + e.getClass().getSimpleName() + ")");
         }
@@ -129,10 +128,8 @@
         try {
             c = new TomlParser().parse(text);
         } catch (RuntimeException e) {
-            throw Fault.here(
-                    Fault.Code.SETTINGS,
-                    "read settings",
-                    "not TOML: " + String.valueOf(e.getMessage()).split("\n")[0]);
+            throw new InvalidSettingsException(
+                    "read settings", "not TOML: " + String.valueOf(e.getMessage()).split("\n")[0]);
         }
         return new Settings(c);
     }
@@ -149,10 +146,8 @@
     public String need(String k) {
         var v = listen.getOrDefault(k, "");
         if (v.isEmpty()) {
-            throw Fault.here(
-                    Fault.Code.SETTINGS,
-                    "check settings",
-                    "ListenAddresses." + k + ": missing, and this role needs it");
+            throw new InvalidSettingsException(
+                    "check settings", "ListenAddresses." + k + ": missing, and this role needs it");
         }
         return v;
     }
@@ -177,11 +172,11 @@
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            throw Fault.here(
-                    Fault.Code.SETTINGS, "check settings", field + ": '" + s + "' is not IP:PORT");
+            throw new InvalidSettingsException(
+                    "check settings", field + ": '" + s + "' is not IP:PORT");
         }
-        throw Fault.here(
-                Fault.Code.SETTINGS, "check settings", field + ": '" + s + "' is not IP:PORT");
+        throw new InvalidSettingsException(
+                "check settings", field + ": '" + s + "' is not IP:PORT");
     }
 
     private static final class Reader {
@@ -195,8 +190,8 @@
             return Optional.ofNullable(c.get(k));
         }
 
-        private Fault bad(String k, String why) {
-            return Fault.here(Fault.Code.SETTINGS, "check settings", k + ": " + why);
+        private MartenloomException bad(String k, String why) {
+            return new InvalidSettingsException("check settings", k + ": " + why);
         }
 
         private String word(String k) {
--- a/core/src/main/java/martenloom/core/ColdSends.java
+++ b/core/src/main/java/martenloom/core/ColdSends.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Optional;
 import martenloom.common.clock.Clocks;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainCore;
+import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.ColdSendLeases;
 import martenloom.core.registry.Registry;
 import martenloom.routing.route.RouteTable;
@@ -25,7 +25,7 @@
     private static final int LENT_APART = 4;
 
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final Registry registry;
     private final CompiledRoutes routes;
     private final FleetMemory memory;
@@ -35,7 +35,7 @@
 
     ColdSends(
             Settings settings,
-            ChainCore chain,
+            ChainMember chain,
             Registry registry,
             CompiledRoutes routes,
             FleetMemory memory,
@@ -55,7 +55,7 @@
     /**
      * What an edge may send to each of these cold replicas; those of which it gets none left out.
      */
-    Map<String, Integer> lend(FleetRecords.Edge edge, List<String> coldReplicas, long now) {
+    Map<String, Integer> lend(EdgeRecord edge, List<String> coldReplicas, long now) {
         var lent = new LinkedHashMap<String, Integer>();
         if (!edge.region.equals(settings.region) || edge.leaving) {
             return lent;
--- a/core/src/main/java/martenloom/core/CompiledRoutes.java
+++ b/core/src/main/java/martenloom/core/CompiledRoutes.java
@@ -1,6 +1,6 @@
 package martenloom.core;
 
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.route.RouteTable;
 
@@ -11,7 +11,7 @@
 final class CompiledRoutes {
     private RouteTable table = RouteTable.EMPTY;
 
-    RouteTable of(CoreState state) {
+    RouteTable of(ClusterState state) {
         if (table.revision != state.revision) {
             table = RoutingLanguage.compile(state.routingText);
         }
--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -13,17 +13,18 @@
 import java.util.List;
 import java.util.Optional;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.api.ControlApi;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.duty.DutyService;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.placement.PlacementService;
 import martenloom.core.registry.Registry;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
 
 /**
@@ -49,7 +50,7 @@
     private final Settings settings;
     private final Eventloop loop;
     private final VersionedStore store;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final Registry registry;
     private final FleetMemory memory;
     private final CorePeers peers;
@@ -59,8 +60,8 @@
     private final OrderForwarding orders;
     private final OrderlyLeave leave;
     private final PlacementService placement;
-    private final DutyService duties;
-    private final DutyRelay dutyRelay;
+    private final RoleLeaseService duties;
+    private final LeaseRelay dutyRelay;
     private final JobClock jobClock;
     private final ReplicaNews replicaNews;
     private final LoadExchange loads;
@@ -75,7 +76,7 @@
         this.loop = loop;
         store = new VersionedStore(folder);
         var kept = store.load();
-        chain = chain(kept.map(ChainCore.MemberState::of));
+        chain = chain(kept.map(ChainMember.MemberState::of));
         registry = new Registry(settings.beatMs * 1000L);
         memory = new FleetMemory(settings, store, registry);
         peers = new CorePeers(loop, settings, chain, memory, this);
@@ -83,8 +84,8 @@
         leave = new OrderlyLeave(loop, settings, chain, orders::handOver, orders::owesAnswers);
         placement = new PlacementService(settings, chain, registry, routes::of);
         chain.onSurvey(() -> placement.now().text());
-        duties = new DutyService(chain, orders::askHere, Clocks::nowUs);
-        dutyRelay = new DutyRelay(chain, duties, peers, homes);
+        duties = new RoleLeaseService(chain, orders::askHere, Clocks::nowUs);
+        dutyRelay = new LeaseRelay(chain, duties, peers, homes);
         jobClock = new JobClock(chain, orders);
         replicaNews = new ReplicaNews(loop, settings, chain, registry, peers, peerRequests, homes);
         loads = new LoadExchange(settings, peers, homes);
@@ -102,7 +103,7 @@
     }
 
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
-    private ChainCore chain(Optional<ChainCore.MemberState> onDisk) {
+    private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
         var disk = onDisk;
         if (disk.isEmpty() && !store.damaged() && settings.bootstrap && founder()) {
             disk = Optional.of(founded());
@@ -114,7 +115,7 @@
                         + " starts, disk "
                         + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
         var life = new SecureRandom().nextLong();
-        var core = new ChainCore(settings.ip, life, disk, nearness(), Clocks.nowUs());
+        var core = new ChainMember(settings.ip, life, disk, nearness(), Clocks.nowUs());
         core.onAway(store.awayUs());
         core.onLeastRoster(2 * Math.max(1, settings.tolerateMachines) + 1);
         return core;
@@ -124,11 +125,11 @@
         return CorePeers.seedIps(settings).contains(settings.ip);
     }
 
-    private ChainCore.MemberState founded() {
-        return new ChainCore.MemberState(
-                ChainCore.Ballot.ZERO,
-                ChainCore.Ballot.ZERO,
-                CoreState.founded(CorePeers.seedIps(settings)));
+    private ChainMember.MemberState founded() {
+        return new ChainMember.MemberState(
+                ChainMember.Ballot.ZERO,
+                ChainMember.Ballot.ZERO,
+                ClusterState.founded(CorePeers.seedIps(settings)));
     }
 
     /**
@@ -249,20 +250,20 @@
         }
     }
 
-    private void carryOut(ChainCore.Command command) {
-        if (command instanceof ChainCore.Send send) {
+    private void carryOut(ChainMember.Command command) {
+        if (command instanceof ChainMember.Send send) {
             peers.dial(send.to());
             peers.send(send.to(), send.record());
-        } else if (command instanceof ChainCore.Store write) {
+        } else if (command instanceof ChainMember.Store write) {
             keep(write);
-        } else if (command instanceof ChainCore.Answer answer) {
+        } else if (command instanceof ChainMember.Answer answer) {
             orders.onDecided(answer);
-        } else if (command instanceof ChainCore.Committed committed) {
+        } else if (command instanceof ChainMember.Committed committed) {
             onCommitted(committed.state());
         }
     }
 
-    private void keep(ChainCore.Store write) {
+    private void keep(ChainMember.Store write) {
         loop.startExternalTask();
         store.keepLater(
                 () -> write.memberState().bytes(),
@@ -277,7 +278,7 @@
         carryOut();
     }
 
-    private void onCommitted(CoreState state) {
+    private void onCommitted(ClusterState state) {
         RingLog.note(
                 "committed edition "
                         + state.edition
@@ -294,35 +295,38 @@
     @Override
     public void onRecord(PeerLinks.Link link, byte[] record) {
         var type = record[0];
-        if (type <= ChainCore.LAST_TYPE) {
+        if (type <= ChainMember.LAST_TYPE) {
             chain.onRecord(Clocks.nowUs(), link.peer, record);
             carryOut();
             return;
         }
-        var in = new Codec.In(record, true);
+        var in = new RecordReader(record, true);
         switch (type) {
-            case FleetRecords.HELLO -> peers.onHello(link, in);
-            case FleetRecords.HEARD -> peers.dialAll(in.texts());
-            case FleetRecords.FLOOD -> replicaNews.onFlood(link, in);
-            case FleetRecords.FLOOD_CONFIRMED -> replicaNews.onConfirmedFlood(link, in);
-            case FleetRecords.DIGEST -> replicaNews.onDigests(link, in);
-            case FleetRecords.ASK -> orders.onOrder(link, in);
-            case FleetRecords.ANSWER -> peerRequests.onAnswer(link, in);
-            case FleetRecords.RENEW -> renewals.onRenew(link, in, Clocks.nowUs());
-            case FleetRecords.SAMPLE -> loads.onSample(in);
-            case FleetRecords.HOME_SUM -> loads.onHomeSum(in);
-            case FleetRecords.REPORT -> dutyRelay.onReport(link, record, in);
-            case FleetRecords.RESYNC -> renewals.onResync(link, Clocks.nowUs());
-            case FleetRecords.EDGE_ASK -> orders.onEdgeOrder(link, in);
-            case FleetRecords.DUTY_WANT -> dutyRelay.onWant(link, in);
-            case FleetRecords.DUTY_GRANT -> dutyRelay.onGrant(link, record, in);
-            case FleetRecords.QUERY -> answerQuery(link, in.text());
+            case RecordType.HELLO -> peers.onHello(link, in);
+            case RecordType.KNOWN_PEERS -> peers.dialAll(in.texts());
+            case RecordType.REGISTRY_UPDATE -> replicaNews.onFlood(link, in);
+            case RecordType.CONFIRMED_REGISTRY_UPDATE -> replicaNews.onConfirmedFlood(link, in);
+            case RecordType.REGISTRY_DIGEST -> replicaNews.onDigests(link, in);
+            case RecordType.ORDER_REQUEST -> orders.onOrder(link, in);
+            case RecordType.ORDER_RESPONSE -> peerRequests.onAnswer(link, in);
+            case RecordType.EDGE_LEASE_RENEWAL -> renewals.onRenew(link, in, Clocks.nowUs());
+            case RecordType.LOAD_SAMPLE -> loads.onSample(in);
+            case RecordType.HOME_LOAD -> loads.onHomeSum(in);
+            case RecordType.OVERLOAD_REPORT -> dutyRelay.onReport(link, record, in);
+            case RecordType.RESYNC_REQUEST -> renewals.onResync(link, Clocks.nowUs());
+            case RecordType.EDGE_REQUEST -> orders.onEdgeOrder(link, in);
+            case RecordType.LEASE_REQUEST -> dutyRelay.onWant(link, in);
+            case RecordType.LEASE_GRANT -> dutyRelay.onGrant(link, record, in);
+            case RecordType.SHELL_QUERY -> answerQuery(link, in.text());
             default -> RingLog.note("link " + link.peer + ": unknown record " + type);
         }
     }
 
     private void answerQuery(PeerLinks.Link link, String query) {
-        link.send(new Codec.Out(FleetRecords.TEXT).text(shellQueries.answer(query)).bytes());
+        link.send(
+                new RecordWriter(RecordType.SHELL_RESPONSE)
+                        .text(shellQueries.answer(query))
+                        .bytes());
     }
 
     @Override
--- a/core/src/main/java/martenloom/core/CorePeers.java
+++ b/core/src/main/java/martenloom/core/CorePeers.java
@@ -11,11 +11,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainCore;
+import martenloom.core.chain.ChainMember;
 
 /**
  * The outgoing links to the other core daemons, and the region that each has told. There is one
@@ -32,7 +33,7 @@
 
     private final Eventloop loop;
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final FleetMemory memory;
     private final PeerLinks.Handler handler;
     private final Map<String, PeerLinks.Dial> dials = new TreeMap<>();
@@ -46,7 +47,7 @@
     CorePeers(
             Eventloop loop,
             Settings settings,
-            ChainCore chain,
+            ChainMember chain,
             FleetMemory memory,
             PeerLinks.Handler handler) {
         this.loop = loop;
@@ -155,7 +156,7 @@
 
     /** Makes us known on a link, at its start and then as a sign of life. */
     private byte[] hello() {
-        return new Codec.Out(FleetRecords.HELLO)
+        return new RecordWriter(RecordType.HELLO)
                 .text(settings.ip)
                 .text(settings.region)
                 .i32(memory.mostEdges())
@@ -164,12 +165,12 @@
     }
 
     /** A peer makes itself known: it is told whom we reach, and is dialed in return. */
-    void onHello(PeerLinks.Link link, Codec.In in) {
+    void onHello(PeerLinks.Link link, RecordReader in) {
         link.peer = in.text();
         regions.put(link.peer, in.text());
         memory.sawEdges(in.i32());
         link.delay.measure(in.i64(), Clocks.nowUs());
-        link.send(new Codec.Out(FleetRecords.HEARD).texts(reachable()).bytes());
+        link.send(new RecordWriter(RecordType.KNOWN_PEERS).texts(reachable()).bytes());
         dial(link.peer);
     }
 
--- a/core/src/main/java/martenloom/core/EdgeConfigurations.java
+++ b/core/src/main/java/martenloom/core/EdgeConfigurations.java
@@ -3,11 +3,11 @@
 import java.util.HashMap;
 import java.util.Map;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * Sends the committed configuration to the edges of this home. The routing text goes to an edge
@@ -16,17 +16,17 @@
 final class EdgeConfigurations {
     private static final long NEVER_SENT = -1;
 
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final HomeLinks homes;
     private final Map<String, Long> sentRevision = new HashMap<>();
 
-    EdgeConfigurations(ChainCore chain, HomeLinks homes) {
+    EdgeConfigurations(ChainMember chain, HomeLinks homes) {
         this.chain = chain;
         this.homes = homes;
     }
 
     /** Sends a newly committed state to all edges. */
-    void onCommitted(CoreState state) {
+    void onCommitted(ClusterState state) {
         var whole = configuration(state, true);
         var withoutText = configuration(state, false);
         homes.forEach(
@@ -59,8 +59,8 @@
         sentRevision.remove(edgeIp);
     }
 
-    private static byte[] configuration(CoreState state, boolean withRoutingText) {
-        return new Codec.Out(FleetRecords.CONFIGURATION)
+    private static byte[] configuration(ClusterState state, boolean withRoutingText) {
+        return new RecordWriter(RecordType.CONFIGURATION)
                 .i64(state.edition)
                 .i64(state.revision)
                 .text(withRoutingText ? state.routingText : "")
--- a/core/src/main/java/martenloom/core/EdgeNews.java
+++ b/core/src/main/java/martenloom/core/EdgeNews.java
@@ -1,9 +1,10 @@
 package martenloom.core;
 
 import java.util.List;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
-import martenloom.core.chain.ChainCore;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.RecordType;
+import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.ColdSendLeases;
 import martenloom.core.registry.Registry;
 
@@ -17,7 +18,7 @@
     /** What is added to the age of a daemon that found replicas on its disk. */
     private static final long RESTORED_AGE_US = 10_000_000;
 
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final Registry registry;
     private final FleetMemory memory;
     private final CorePeers peers;
@@ -30,7 +31,7 @@
      * @param startUs when this daemon started
      */
     EdgeNews(
-            ChainCore chain,
+            ChainMember chain,
             Registry registry,
             FleetMemory memory,
             CorePeers peers,
@@ -48,8 +49,8 @@
         this.startUs = startUs;
     }
 
-    byte[] record(FleetRecords.Edge edge, long stamp, List<String> coldReplicas, long now) {
-        return new Codec.Out(FleetRecords.NEWS)
+    byte[] record(EdgeRecord edge, long stamp, List<String> coldReplicas, long now) {
+        return new RecordWriter(RecordType.EDGE_LEASE_RESPONSE)
                 .i64(stamp)
                 .i64(now - startUs + (memory.restored() ? RESTORED_AGE_US : 0))
                 .i64(leave.begun() ? OrderlyLeave.FAR_TOO_OLD_US : chain.staleUs(now))
--- a/core/src/main/java/martenloom/core/EdgeRenewals.java
+++ b/core/src/main/java/martenloom/core/EdgeRenewals.java
@@ -1,7 +1,7 @@
 package martenloom.core;
 
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.link.PeerLinks;
 import martenloom.core.registry.Registry;
 
@@ -17,7 +17,7 @@
     private final EdgeNews news;
     private final RegionJobs regionJobs;
     private final ReplicaNews replicaNews;
-    private final DutyRelay dutyRelay;
+    private final LeaseRelay dutyRelay;
 
     EdgeRenewals(
             Registry registry,
@@ -26,7 +26,7 @@
             EdgeNews news,
             RegionJobs regionJobs,
             ReplicaNews replicaNews,
-            DutyRelay dutyRelay) {
+            LeaseRelay dutyRelay) {
         this.registry = registry;
         this.homes = homes;
         this.configurations = configurations;
@@ -36,8 +36,8 @@
         this.dutyRelay = dutyRelay;
     }
 
-    void onRenew(PeerLinks.Link link, Codec.In in, long now) {
-        var edge = FleetRecords.Edge.read(in, now);
+    void onRenew(PeerLinks.Link link, RecordReader in, long now) {
+        var edge = EdgeRecord.read(in, now);
         var stamp = in.i64();
         edge.heardUs = now - link.delay.measure(stamp, now);
         var holder = in.text();
--- a/core/src/main/java/martenloom/core/FleetMemory.java
+++ b/core/src/main/java/martenloom/core/FleetMemory.java
@@ -1,8 +1,8 @@
 package martenloom.core;
 
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.error.Fault;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.error.MartenloomException;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.registry.Registry;
@@ -36,11 +36,11 @@
 
     private int restore(byte[] note, long coldUs) {
         try {
-            var in = new Codec.In(note, false);
+            var in = new RecordReader(note, false);
             mostEdges = in.i32();
             mostHomes = Math.max(1, in.i32());
             return registry.remember(in, Clocks.nowUs(), coldUs);
-        } catch (Fault f) {
+        } catch (MartenloomException f) {
             RingLog.wrong("the note of replicas is passed over: " + f.getMessage());
             return 0;
         }
--- a/core/src/main/java/martenloom/core/JobClock.java
+++ b/core/src/main/java/martenloom/core/JobClock.java
@@ -1,7 +1,7 @@
 package martenloom.core;
 
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * Keeps the clock of the jobs in the committed state, so that a new head goes on from there: the
@@ -10,11 +10,11 @@
 final class JobClock {
     private static final long WRITE_US = 4_000_000;
 
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final OrderForwarding orders;
     private long writtenUs;
 
-    JobClock(ChainCore chain, OrderForwarding orders) {
+    JobClock(ChainMember chain, OrderForwarding orders) {
         this.chain = chain;
         this.orders = orders;
     }
@@ -24,7 +24,7 @@
                 && chain.committed().jobTable.live() > 0
                 && now - writtenUs > WRITE_US) {
             writtenUs = now;
-            var order = new CoreState.Change(CoreState.Act.JOB_CLOCK, 0, "", "");
+            var order = new ClusterState.Change(ClusterState.Act.JOB_CLOCK, 0, "", "");
             orders.askHere(order, (status, text) -> {});
         }
     }
--- a/core/src/main/java/martenloom/core/DutyRelay.java
+++ b/core/src/main/java/martenloom/core/LeaseRelay.java
@@ -3,29 +3,30 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.duty.DutyService;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.lease.RoleLeaseService;
 
 /**
  * Carries the edges' wishes for duties to the head, its grants back to them, and the reports of
  * those who hold a duty to all edges. A grant counts only from the head of the moment; grants and
  * reports under an older grant than is known here are dropped. Runs on the reactor thread.
  */
-final class DutyRelay {
+final class LeaseRelay {
     /** Wishes of edges that do not hold the duty are passed on as seldom as this. */
     private static final long WANT_US = 350_000;
 
-    private final ChainCore chain;
-    private final DutyService duties;
+    private final ChainMember chain;
+    private final RoleLeaseService duties;
     private final CorePeers peers;
     private final HomeLinks homes;
     private final Map<String, Long> passedUs = new HashMap<>();
 
-    DutyRelay(ChainCore chain, DutyService duties, CorePeers peers, HomeLinks homes) {
+    LeaseRelay(ChainMember chain, RoleLeaseService duties, CorePeers peers, HomeLinks homes) {
         this.chain = chain;
         this.duties = duties;
         this.peers = peers;
@@ -62,7 +63,7 @@
                 .ifPresent(
                         head ->
                                 head.send(
-                                        new Codec.Out(FleetRecords.DUTY_WANT)
+                                        new RecordWriter(RecordType.LEASE_REQUEST)
                                                 .text(duty)
                                                 .text(holder)
                                                 .i64(stamp)
@@ -70,7 +71,7 @@
     }
 
     /** Another core daemon passes on that an edge of its own wants a duty. */
-    void onWant(PeerLinks.Link link, Codec.In in) {
+    void onWant(PeerLinks.Link link, RecordReader in) {
         duties.want(in.text(), in.text(), in.i64(), link::send);
     }
 
@@ -78,7 +79,7 @@
      * A grant counts from the head of the moment, on our link to it, and not when a newer one is
      * known here.
      */
-    void onGrant(PeerLinks.Link from, byte[] record, Codec.In in) {
+    void onGrant(PeerLinks.Link from, byte[] record, RecordReader in) {
         var holder = in.text();
         var duty = in.text();
         var ofHead = peers.headLink().filter(head -> head == from).isPresent();
@@ -91,7 +92,7 @@
      * A report comes from an edge of ours, then goes to all our edges and to the peers; theirs pass
      * it to their edges only.
      */
-    void onReport(PeerLinks.Link from, byte[] record, Codec.In in) {
+    void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
         var duty = in.text() + "/" + in.text();
         var reporter = in.text();
         if (chain.committed().overtaken(duty, in.i64())) {
--- a/core/src/main/java/martenloom/core/LoadExchange.java
+++ b/core/src/main/java/martenloom/core/LoadExchange.java
@@ -4,8 +4,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
 import martenloom.core.load.LoadAggregator;
@@ -53,7 +54,7 @@
         if (receivers.isEmpty()) {
             return;
         }
-        var out = new Codec.Out(FleetRecords.HOME_SUM).text(settings.ip).i64(life).i64(turns);
+        var out = new RecordWriter(RecordType.HOME_LOAD).text(settings.ip).i64(life).i64(turns);
         own.write(out);
         aggregator.writePlaces(out, way);
         var record = out.bytes();
@@ -62,7 +63,7 @@
 
     private void sendToEdges(LoadSummary own, long now) {
         toldVersion = aggregator.version();
-        var out = aggregator.whole(own, now).write(new Codec.Out());
+        var out = aggregator.whole(own, now).write(new RecordWriter());
         aggregator.writePlaces(out, LoadAggregator.Way.EDGES);
         own.doubtful().write(out);
         var sum = out.bytes();
@@ -70,11 +71,14 @@
     }
 
     private byte[] wholeSum(String edgeIp, byte[] sum) {
-        return new Codec.Out(FleetRecords.WHOLE_SUM).i64(aggregator.seqOf(edgeIp)).raw(sum).bytes();
+        return new RecordWriter(RecordType.TOTAL_LOAD)
+                .i64(aggregator.seqOf(edgeIp))
+                .raw(sum)
+                .bytes();
     }
 
     /** The load of an edge. */
-    void onSample(Codec.In in) {
+    void onSample(RecordReader in) {
         var edgeIp = in.text();
         var edgeLife = in.i64();
         var sequence = in.i64();
@@ -85,7 +89,7 @@
     }
 
     /** The sum of the edges of another home. */
-    void onHomeSum(Codec.In in) {
+    void onHomeSum(RecordReader in) {
         var homeIp = in.text();
         var homeLife = in.i64();
         var sequence = in.i64();
@@ -95,7 +99,7 @@
         }
     }
 
-    private void takePlaces(Codec.In in, boolean fromEdge) {
+    private void takePlaces(RecordReader in, boolean fromEdge) {
         in.list(
                 place -> {
                     aggregator.place(place.text(), place.text(), fromEdge);
--- a/core/src/main/java/martenloom/core/OrderForwarding.java
+++ b/core/src/main/java/martenloom/core/OrderForwarding.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * Hands orders to the head of the chain, here or at another core daemon, and their answers back.
@@ -25,7 +25,7 @@
 
     private final Eventloop loop;
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final CorePeers peers;
     private final PeerRequests peerRequests;
     private final Runnable carryOut;
@@ -38,7 +38,7 @@
     OrderForwarding(
             Eventloop loop,
             Settings settings,
-            ChainCore chain,
+            ChainMember chain,
             CorePeers peers,
             PeerRequests peerRequests,
             Runnable carryOut) {
@@ -51,7 +51,7 @@
     }
 
     /** Puts an order to the chain of this daemon. */
-    void askHere(CoreState.Change order, BiConsumer<Integer, String> reply) {
+    void askHere(ClusterState.Change order, BiConsumer<Integer, String> reply) {
         var id = ++lastLocal;
         localRequests.put(id, reply);
         chain.onAsk(Clocks.nowUs(), id, order);
@@ -59,7 +59,7 @@
     }
 
     /** Hands an order to the head, wherever it is. */
-    void handOver(CoreState.Change order, BiConsumer<Integer, String> reply) {
+    void handOver(ClusterState.Change order, BiConsumer<Integer, String> reply) {
         if (chain.heading()) {
             askHere(order, reply);
             return;
@@ -70,7 +70,7 @@
             return;
         }
         var head = link.get();
-        var id = peerRequests.send(head, FleetRecords.ASK, order::write, reply);
+        var id = peerRequests.send(head, RecordType.ORDER_REQUEST, order::write, reply);
         Clocks.after(
                 loop,
                 ANSWER_US,
@@ -78,21 +78,21 @@
     }
 
     /** An order that another core daemon has handed over to this one. */
-    void onOrder(PeerLinks.Link link, Codec.In in) {
+    void onOrder(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         askHere(
-                CoreState.Change.read(in),
+                ClusterState.Change.read(in),
                 (status, text) -> PeerRequests.answer(link, id, status, text));
     }
 
     /** An order of an edge, which may only give those of the runner of jobs. */
-    void onEdgeOrder(PeerLinks.Link link, Codec.In in) {
+    void onEdgeOrder(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        var act = CoreState.Act.valueOf(in.text());
+        var act = ClusterState.Act.valueOf(in.text());
         var subject = in.text();
         var fence = in.i64();
         var version = in.i64();
-        var order = new CoreState.Change(act, fence, subject, in.text()).versioned(version);
+        var order = new ClusterState.Change(act, fence, subject, in.text()).versioned(version);
         if (!act.ofRunner()) {
             PeerRequests.answer(link, id, 400, "not for an edge");
             return;
@@ -101,7 +101,7 @@
     }
 
     /** The chain's answer to an order that was put to it here. */
-    void onDecided(ChainCore.Answer answer) {
+    void onDecided(ChainMember.Answer answer) {
         Optional.ofNullable(localRequests.remove(answer.request()))
                 .ifPresent(reply -> reply.accept(answer.status(), answer.text()));
     }
--- a/core/src/main/java/martenloom/core/OrderlyLeave.java
+++ b/core/src/main/java/martenloom/core/OrderlyLeave.java
@@ -10,8 +10,8 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.api.ControlApi;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * The way of a core daemon out of the chain at SIGTERM: callers and edges are sent elsewhere, the
@@ -35,7 +35,7 @@
 
     private final Eventloop loop;
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final ControlApi.OrderForwarder orders;
     private final BooleanSupplier owesAnswers;
     private volatile boolean begun;
@@ -47,7 +47,7 @@
     OrderlyLeave(
             Eventloop loop,
             Settings settings,
-            ChainCore chain,
+            ChainMember chain,
             ControlApi.OrderForwarder orders,
             BooleanSupplier owesAnswers) {
         this.loop = loop;
@@ -94,8 +94,8 @@
             return;
         }
         if (releasedUs == 0) {
-            var urgency = now < urgentUs ? CoreState.LEAVE_SOON : CoreState.LEAVE_NOW;
-            var order = new CoreState.Change(CoreState.Act.LEAVE, urgency, settings.ip, "");
+            var urgency = now < urgentUs ? ClusterState.LEAVE_SOON : ClusterState.LEAVE_NOW;
+            var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, settings.ip, "");
             orders.ask(order, (status, text) -> taken |= status == 200);
         }
         Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
@@ -105,7 +105,7 @@
      * Not before the chain can do without this member; then when no caller waits, or soon after.
      */
     private boolean mayEnd(long now) {
-        var learning = chain.mode() == ChainCore.Mode.LEARNING;
+        var learning = chain.mode() == ChainMember.Mode.LEARNING;
         if (releasedUs == 0 && (taken || learning) && chain.released(now)) {
             releasedUs = now;
         }
--- a/core/src/main/java/martenloom/core/PeerRequests.java
+++ b/core/src/main/java/martenloom/core/PeerRequests.java
@@ -3,8 +3,9 @@
 import java.security.SecureRandom;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.log.RingLog;
@@ -22,10 +23,10 @@
     PendingRequests.RequestId send(
             PeerLinks.Link link,
             int recordType,
-            Consumer<Codec.Out> body,
+            Consumer<RecordWriter> body,
             BiConsumer<Integer, String> reply) {
         var id = pending.open(link, reply);
-        var out = new Codec.Out(recordType);
+        var out = new RecordWriter(recordType);
         id.write(out);
         body.accept(out);
         link.send(out.bytes());
@@ -37,7 +38,7 @@
         pending.expire(id, why);
     }
 
-    void onAnswer(PeerLinks.Link link, Codec.In in) {
+    void onAnswer(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         if (!pending.answered(id, link, in.i32(), in.text())) {
             RingLog.note("link " + link.peer + ": an answer to no request of ours is dropped");
@@ -54,7 +55,7 @@
 
     /** Answers a request on the link on which it came, under the id that its sender gave it. */
     static void answer(PeerLinks.Link link, PendingRequests.RequestId id, int status, String text) {
-        var out = new Codec.Out(FleetRecords.ANSWER);
+        var out = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(out);
         link.send(out.i32(status).text(text).bytes());
     }
--- a/core/src/main/java/martenloom/core/RegionJobs.java
+++ b/core/src/main/java/martenloom/core/RegionJobs.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.jobs.Job;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -14,10 +14,10 @@
  * is given the list; times in it are relative to the clock of the jobs. Runs on the reactor thread.
  */
 final class RegionJobs {
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final CompiledRoutes routes;
 
-    RegionJobs(ChainCore chain, CompiledRoutes routes) {
+    RegionJobs(ChainMember chain, CompiledRoutes routes) {
         this.chain = chain;
         this.routes = routes;
     }
@@ -36,18 +36,18 @@
         var clockUs = Math.max(state.jobTable.clockUs, chain.jobClockUs(now));
         var table = routes.of(state);
         return Optional.of(
-                new Codec.Out(FleetRecords.JOBS)
+                new RecordWriter(RecordType.JOB_LIST)
                         .list(live(state, region), (out, job) -> writeJob(out, job, clockUs, table))
                         .bytes());
     }
 
-    private static List<Job> live(CoreState state, String region) {
+    private static List<Job> live(ClusterState state, String region) {
         return state.jobTable.jobs.values().stream()
                 .filter(job -> job.state.live() && job.region.equals(region))
                 .toList();
     }
 
-    private static void writeJob(Codec.Out out, Job job, long clockUs, RouteTable table) {
+    private static void writeJob(RecordWriter out, Job job, long clockUs, RouteTable table) {
         out.text(job.id)
                 .flag(job.state == Job.State.RUNNING)
                 .i64(job.fence)
--- a/core/src/main/java/martenloom/core/ReplicaNews.java
+++ b/core/src/main/java/martenloom/core/ReplicaNews.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.function.Consumer;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainCore;
+import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.MajorityReceipt;
 import martenloom.core.registry.Registry;
 
@@ -26,7 +26,7 @@
 
     private final Eventloop loop;
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final Registry registry;
     private final CorePeers peers;
     private final PeerRequests peerRequests;
@@ -35,7 +35,7 @@
     ReplicaNews(
             Eventloop loop,
             Settings settings,
-            ChainCore chain,
+            ChainMember chain,
             Registry registry,
             CorePeers peers,
             PeerRequests peerRequests,
@@ -94,7 +94,7 @@
             PeerLinks.Link link, byte[] rows, Runnable received) {
         return peerRequests.send(
                 link,
-                FleetRecords.FLOOD_CONFIRMED,
+                RecordType.CONFIRMED_REGISTRY_UPDATE,
                 out -> out.blob(rows),
                 (status, text) -> {
                     if (status == 200) {
@@ -107,7 +107,7 @@
      * Rows from another daemon, as old as their sender says and for as long as they were under way.
      * Ends are told on at once.
      */
-    void onFlood(PeerLinks.Link link, Codec.In in) {
+    void onFlood(PeerLinks.Link link, RecordReader in) {
         var now = Clocks.nowUs();
         registry.takeFlood(in, now - link.delay.measure(in.i64(), now));
         if (registry.endsChanged()) {
@@ -116,9 +116,9 @@
     }
 
     /** Rows whose sender waits until they have been taken here. */
-    void onConfirmedFlood(PeerLinks.Link link, Codec.In in) {
+    void onConfirmedFlood(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        onFlood(link, new Codec.In(in.blob(), true));
+        onFlood(link, new RecordReader(in.blob(), true));
         PeerRequests.answer(link, id, 200, "");
     }
 
@@ -128,7 +128,7 @@
     }
 
     /** Answers the digests of a peer with the rows that differ. */
-    void onDigests(PeerLinks.Link link, Codec.In in) {
+    void onDigests(PeerLinks.Link link, RecordReader in) {
         registry.mend(in, Clocks.nowUs()).ifPresent(rows -> peers.send(link.peer, rows));
     }
 }
--- a/core/src/main/java/martenloom/core/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/ShellQueries.java
@@ -4,11 +4,12 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import martenloom.common.clock.Clocks;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.link.LinkTraffic;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainCore;
+import martenloom.core.chain.ChainMember;
 import martenloom.core.placement.PlacementService;
 import martenloom.core.registry.Registry;
 
@@ -23,14 +24,14 @@
                     + " scaling exposure traffic log; would REGION/MODEL unload|load\n";
 
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final Registry registry;
     private final PlacementService placement;
     private final HomeLinks homes;
 
     ShellQueries(
             Settings settings,
-            ChainCore chain,
+            ChainMember chain,
             Registry registry,
             PlacementService placement,
             HomeLinks homes) {
@@ -85,7 +86,7 @@
                 });
     }
 
-    private static String member(FleetRecords.Edge edge, long now) {
+    private static String member(EdgeRecord edge, long now) {
         return String.format(
                 "%s %s %s %s%s revision %d lease-age %d ms\n",
                 edge.ip,
@@ -119,7 +120,7 @@
                 + state.routingText;
     }
 
-    private static String replica(FleetRecords.Replica replica, long now) {
+    private static String replica(ReplicaRecord replica, long now) {
         return String.format(
                 "%s %s %s %s %s seq %d beat-age %d ms warm-left %d ms\n",
                 replica.id,
@@ -132,7 +133,7 @@
                 Math.max(0, replica.warmAtUs - now) / 1000);
     }
 
-    private static String condition(FleetRecords.Replica replica) {
+    private static String condition(ReplicaRecord replica) {
         if (replica.gone) {
             return "gone";
         }
--- a/core/src/main/java/martenloom/core/api/ControlApi.java
+++ b/core/src/main/java/martenloom/core/api/ControlApi.java
@@ -22,14 +22,15 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.error.Fault;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.error.InvalidConfigurationException;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.jobs.Job;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.registry.Registry;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.route.RouteTable;
 
@@ -48,7 +49,7 @@
     /** Hands a change to the head of the chain, wherever it is. */
     @FunctionalInterface
     public interface OrderForwarder {
-        void ask(CoreState.Change c, BiConsumer<Integer, String> reply);
+        void ask(ClusterState.Change c, BiConsumer<Integer, String> reply);
     }
 
     /** Tells all that a replica drains or has ended, and then whether a majority knows it. */
@@ -64,7 +65,7 @@
     private final OrderForwarder chain;
     private final EndNotice endNotice;
     private final Supplier<RouteTable> table;
-    private final Supplier<CoreState> committed;
+    private final Supplier<ClusterState> committed;
     private final Function<Set<String>, String> outside;
     private final BooleanSupplier inTouch;
 
@@ -76,7 +77,7 @@
             OrderForwarder chain,
             EndNotice endNotice,
             Supplier<RouteTable> table,
-            Supplier<CoreState> committed,
+            Supplier<ClusterState> committed,
             Function<Set<String>, String> outside,
             BooleanSupplier inTouch) {
         this.loop = loop;
@@ -105,22 +106,22 @@
                                         : seg.length > 2 ? "/" + seg[2] : "");
         return switch (key) {
             case "GET lookup" -> Promise.of(lookup(q));
-            case "POST configuration/replace" -> change(q, CoreState.Act.REPLACE);
-            case "POST configuration/update" -> change(q, CoreState.Act.UPDATE);
+            case "POST configuration/replace" -> change(q, ClusterState.Act.REPLACE);
+            case "POST configuration/update" -> change(q, ClusterState.Act.UPDATE);
             case "GET configuration/describe" ->
-                    ask(new CoreState.Change(CoreState.Act.READ, 0, "", ""));
-            case "POST evacuations/*/start" -> evacuation(seg[2], CoreState.Act.EVAC_START);
-            case "POST evacuations/*/finish" -> evacuation(seg[2], CoreState.Act.EVAC_FINISH);
+                    ask(new ClusterState.Change(ClusterState.Act.READ, 0, "", ""));
+            case "POST evacuations/*/start" -> evacuation(seg[2], ClusterState.Act.EVAC_START);
+            case "POST evacuations/*/finish" -> evacuation(seg[2], ClusterState.Act.EVAC_FINISH);
             case "POST placements/*/*/unload", "POST placements/*/*/load" ->
                     placement(seg[2], seg[3], seg[4]);
             case "POST instances/*/heartbeat" -> body(q).then(b -> beat(seg[2], b));
             case "POST instances/*/deregister" -> deregister(seg[2]);
             case "POST jobs/*/submit" -> body(q).then(b -> submit(seg[2], b));
-            case "GET jobs" -> ask(new CoreState.Change(CoreState.Act.JOB_LIST, 0, "", ""));
-            case "GET jobs/*/describe" -> job(CoreState.Act.JOB_GET, seg[2]);
-            case "GET jobs/*/result" -> job(CoreState.Act.JOB_RESULT, seg[2]);
-            case "POST jobs/*/confirm" -> job(CoreState.Act.JOB_CONFIRM, seg[2]);
-            case "POST jobs/*/cancel" -> job(CoreState.Act.JOB_CANCEL, seg[2]);
+            case "GET jobs" -> ask(new ClusterState.Change(ClusterState.Act.JOB_LIST, 0, "", ""));
+            case "GET jobs/*/describe" -> job(ClusterState.Act.JOB_GET, seg[2]);
+            case "GET jobs/*/result" -> job(ClusterState.Act.JOB_RESULT, seg[2]);
+            case "POST jobs/*/confirm" -> job(ClusterState.Act.JOB_CONFIRM, seg[2]);
+            case "POST jobs/*/cancel" -> job(ClusterState.Act.JOB_CANCEL, seg[2]);
             default -> Promise.of(plain(404, "no such call: " + q.getMethod() + " " + q.getPath()));
         };
     }
@@ -144,7 +145,7 @@
 
     // ---- the operator
 
-    private Promise<HttpResponse> change(HttpRequest q, CoreState.Act act) {
+    private Promise<HttpResponse> change(HttpRequest q, ClusterState.Act act) {
         var h = Optional.ofNullable(q.getHeader(BASE)).orElse("");
         long base;
         try {
@@ -152,15 +153,15 @@
         } catch (NumberFormatException e) {
             return Promise.of(plain(400, "X-Base-Revision: '" + h + "' is not a number"));
         }
-        return body(q).then(b -> ask(new CoreState.Change(act, base, "", b)));
+        return body(q).then(b -> ask(new ClusterState.Change(act, base, "", b)));
     }
 
-    private Promise<HttpResponse> evacuation(String zone, CoreState.Act act) {
+    private Promise<HttpResponse> evacuation(String zone, ClusterState.Act act) {
         var h = URLDecoder.decode(zone, StandardCharsets.UTF_8);
         if (!settings.zones.containsKey(h)) {
             return Promise.of(plain(404, "zone '" + h + "' is not known"));
         }
-        return ask(new CoreState.Change(act, 0, h, ""));
+        return ask(new ClusterState.Change(act, 0, h, ""));
     }
 
     /**
@@ -177,20 +178,20 @@
             return Promise.of(
                     plain(inTouch.getAsBoolean() ? 404 : 503, "model '" + m + "' is not known"));
         }
-        return ask(new CoreState.Change(CoreState.Act.PLACE, 0, g + "/" + m, order));
+        return ask(new ClusterState.Change(ClusterState.Act.PLACE, 0, g + "/" + m, order));
     }
 
     /**
      * Hands a change over. An order gets the version on which it is accepted here, and keeps it
      * when it is handed over again.
      */
-    private Promise<HttpResponse> ask(CoreState.Change c) {
+    private Promise<HttpResponse> ask(ClusterState.Change c) {
         var p = new SettablePromise<HttpResponse>();
         ask(committed.get().accepted(c), Clocks.nowUs(), p);
         return p;
     }
 
-    private void ask(CoreState.Change c, long since, SettablePromise<HttpResponse> p) {
+    private void ask(ClusterState.Change c, long since, SettablePromise<HttpResponse> p) {
         chain.ask(
                 c,
                 (s, t) -> {
@@ -211,15 +212,16 @@
                                     + (s == 200 ? "" : t));
                     p.set(
                             plain(
-                                    s == CoreState.STALE_ORDER ? 503 : s,
+                                    s == ClusterState.STALE_ORDER ? 503 : s,
                                     s == 200 && t.isEmpty() ? "{}" : t));
                 });
     }
 
     // ---- deferred jobs
 
-    private Promise<HttpResponse> job(CoreState.Act act, String id) {
-        return ask(new CoreState.Change(act, 0, URLDecoder.decode(id, StandardCharsets.UTF_8), ""));
+    private Promise<HttpResponse> job(ClusterState.Act act, String id) {
+        return ask(
+                new ClusterState.Change(act, 0, URLDecoder.decode(id, StandardCharsets.UTF_8), ""));
     }
 
     private Promise<HttpResponse> submit(String id, String text) {
@@ -231,7 +233,7 @@
         }
         try {
             read(j, Configurations.body(text));
-        } catch (Fault | com.typesafe.config.ConfigException e) {
+        } catch (MartenloomException | com.typesafe.config.ConfigException e) {
             return Promise.of(
                     plain(400, "job: " + String.valueOf(e.getMessage()).replace('\n', ' ')));
         }
@@ -267,11 +269,11 @@
         if (!settings.zones.containsValue(j.region) || !r.get().allows(j.region)) {
             return Promise.of(plain(400, "Region: '" + j.region + "' is not known or not allowed"));
         }
-        var o = new Codec.Out();
+        var o = new RecordWriter();
         j.write(o);
         return ask(
-                new CoreState.Change(
-                        CoreState.Act.JOB_SUBMIT,
+                new ClusterState.Change(
+                        ClusterState.Act.JOB_SUBMIT,
                         0,
                         j.id,
                         Base64.getEncoder().encodeToString(o.bytes())));
@@ -281,15 +283,13 @@
         j.host = c.getString("Hostname").toLowerCase(Locale.ROOT);
         j.path = c.getString("Path");
         if (!j.path.startsWith("/") || j.path.chars().anyMatch(x -> x <= ' ' || x > 126)) {
-            throw Fault.here(
-                    Fault.Code.CONFIGURATION,
-                    "read job",
-                    "Path: must begin with a slash and hold no blanks");
+            throw new InvalidConfigurationException(
+                    "read job", "Path: must begin with a slash and hold no blanks");
         }
         j.method = c.hasPath("Method") ? c.getString("Method") : "POST";
         if (!j.method.matches("[A-Z]{1,16}")) {
-            throw Fault.here(
-                    Fault.Code.CONFIGURATION, "read job", "Method: must be a word in capitals");
+            throw new InvalidConfigurationException(
+                    "read job", "Method: must be a word in capitals");
         }
         j.region = c.hasPath("Region") ? c.getString("Region") : "";
         j.body = (c.hasPath("Body") ? c.getString("Body") : "").getBytes(StandardCharsets.UTF_8);
@@ -300,10 +300,8 @@
                 var v = String.valueOf(e.getValue().unwrapped());
                 if (!e.getKey().matches("[A-Za-z0-9-]{1,64}")
                         || v.chars().anyMatch(x -> x < ' ' || x > 126)) {
-                    throw Fault.here(
-                            Fault.Code.CONFIGURATION,
-                            "read job",
-                            "Headers: '" + e.getKey() + "' is no plain field");
+                    throw new InvalidConfigurationException(
+                            "read job", "Headers: '" + e.getKey() + "' is no plain field");
                 }
                 f.add(e.getKey() + ": " + v);
             }
@@ -311,7 +309,7 @@
         Collections.sort(f);
         j.fields = f;
         j.digest =
-                CoreState.sha(
+                ClusterState.sha(
                         j.host + "\n" + j.path + "\n" + j.method + "\n" + j.region + "\n" + f + "\n"
                                 + j.dueUs,
                         j.body);
@@ -326,7 +324,7 @@
         try {
             var now = Clocks.nowUs();
             var c = Configurations.body(text);
-            var r = new FleetRecords.Replica();
+            var r = new ReplicaRecord();
             r.id = URLDecoder.decode(id, StandardCharsets.UTF_8);
             r.service = c.getString("Backend");
             r.address = c.getString("Address");
@@ -351,7 +349,7 @@
                 return acknowledgedByMajority(r.id);
             }
             return Promise.of(plain(200, "{}"));
-        } catch (Fault | com.typesafe.config.ConfigException e) {
+        } catch (MartenloomException | com.typesafe.config.ConfigException e) {
             var why = String.valueOf(e.getMessage()).replace('\n', ' ');
             return Promise.of(plain(400, "beat: " + why));
         }
--- a/core/src/main/java/martenloom/core/api/EdgeDirectory.java
+++ b/core/src/main/java/martenloom/core/api/EdgeDirectory.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Predicate;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.EdgeRecord;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -22,10 +22,10 @@
     private EdgeDirectory() {}
 
     /** The ready edges to name to a client in this zone and region that asks for a host. */
-    static List<FleetRecords.Edge> choose(
-            List<FleetRecords.Edge> ready, String zone, String region, Set<String> homes) {
+    static List<EdgeRecord> choose(
+            List<EdgeRecord> ready, String zone, String region, Set<String> homes) {
         var preferences =
-                List.<Predicate<FleetRecords.Edge>>of(
+                List.<Predicate<EdgeRecord>>of(
                         e -> e.zone.equals(zone),
                         e -> e.region.equals(region),
                         e -> homes.contains(e.region));
--- a/core/src/main/java/martenloom/core/chain/ChainCore.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -8,8 +8,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
-import martenloom.common.codec.Codec;
-import martenloom.core.state.CoreState;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.core.state.ClusterState;
 
 /**
  * The chain and its view, as one owner of events that answers with commands; it does no input or
@@ -28,7 +29,7 @@
  * class is what the owner sees of them: it takes time, records and orders in, and does one write at
  * a time.
  */
-public final class ChainCore {
+public final class ChainMember {
     /** The highest type of a record of the chain; higher numbers belong to others. */
     public static final int LAST_TYPE = ChainMessage.HANDOVER;
 
@@ -60,11 +61,11 @@
             return n != o.n ? Long.compare(n, o.n) : who.compareTo(o.who);
         }
 
-        void write(Codec.Out o) {
+        void write(RecordWriter o) {
             o.i64(n).text(who);
         }
 
-        static Ballot read(Codec.In in) {
+        static Ballot read(RecordReader in) {
             return new Ballot(in.i64(), in.text());
         }
     }
@@ -73,24 +74,24 @@
     public static final class MemberState {
         public final Ballot promised;
         public final Ballot accepted;
-        public final CoreState state;
+        public final ClusterState state;
 
-        public MemberState(Ballot p, Ballot a, CoreState s) {
+        public MemberState(Ballot p, Ballot a, ClusterState s) {
             promised = p;
             accepted = a;
             state = s;
         }
 
         public byte[] bytes() {
-            var o = new Codec.Out();
+            var o = new RecordWriter();
             promised.write(o);
             accepted.write(o);
             return o.blob(state.bytes()).bytes();
         }
 
         public static MemberState of(byte[] b) {
-            var in = new Codec.In(b, false);
-            return new MemberState(Ballot.read(in), Ballot.read(in), CoreState.of(in.blob()));
+            var in = new RecordReader(b, false);
+            return new MemberState(Ballot.read(in), Ballot.read(in), ClusterState.of(in.blob()));
         }
     }
 
@@ -117,9 +118,9 @@
     public record Answer(long request, int status, String text) implements Command {}
 
     /** A newer state is known to be committed. */
-    public record Committed(CoreState state) implements Command {}
+    public record Committed(ClusterState state) implements Command {}
 
-    private record Asked(long request, CoreState.Change change) {}
+    private record Asked(long request, ClusterState.Change change) {}
 
     /** The write that is under way: whose it is, since when, and what its caller is told. */
     private record Write(long request, long sinceUs, String text) {}
@@ -138,7 +139,7 @@
     private long clockSinceUs;
     private long awayUs;
 
-    public ChainCore(
+    public ChainMember(
             String me, long nonce, Optional<MemberState> disk, Comparator<String> near, long now) {
         member = new MemberContext(me, nonce, disk, near, now);
         membership = new Membership(member);
@@ -157,7 +158,7 @@
         return member.mode;
     }
 
-    public CoreState committed() {
+    public ClusterState committed() {
         return member.committed;
     }
 
@@ -370,14 +371,14 @@
 
     // ---- changes asked for
 
-    public void onAsk(long t, long request, CoreState.Change change) {
+    public void onAsk(long t, long request, ClusterState.Change change) {
         member.advance(t);
         if (!heading() || queue.size() + barrier.waiting() >= QUEUE) {
             member.output.add(new Answer(request, UNAVAILABLE, "not the head of an active chain"));
             return;
         }
-        if (change.act == CoreState.Act.LEAVE) {
-            membership.onLeaveAsked(change.subject, change.base == CoreState.LEAVE_NOW);
+        if (change.act == ClusterState.Act.LEAVE) {
+            membership.onLeaveAsked(change.subject, change.base == ClusterState.LEAVE_NOW);
         }
         queue.add(new Asked(request, change));
         work();
@@ -436,7 +437,7 @@
     }
 
     /** A view was agreed: its state goes down the chain. */
-    void open(CoreState state, Ballot acceptedIn, List<String> holders) {
+    void open(ClusterState state, Ballot acceptedIn, List<String> holders) {
         replication.open(state, acceptedIn, holders);
     }
 
--- a/core/src/main/java/martenloom/core/chain/ChainMessage.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMessage.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import martenloom.common.codec.Codec;
-import martenloom.core.chain.ChainCore.Ballot;
-import martenloom.core.state.CoreState;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.core.chain.ChainMember.Ballot;
+import martenloom.core.state.ClusterState;
 
 /**
  * The messages between members of the chain, each with its wire form: a type byte, then its fields
@@ -34,16 +35,16 @@
     int LEARNER = 2;
 
     /** The wire form. */
-    Codec.Out encode();
+    RecordWriter encode();
 
     /** Reads one message; empty when its type is none of the chain's. */
     static Optional<ChainMessage> decode(byte[] record) {
-        var in = new Codec.In(record, true);
-        if (in.type < PREPARE || in.type > HANDOVER) {
+        var in = new RecordReader(record, true);
+        if (in.type() < PREPARE || in.type() > HANDOVER) {
             return Optional.empty();
         }
         return Optional.of(
-                switch (in.type) {
+                switch (in.type()) {
                     case PREPARE ->
                             new Prepare(
                                     Ballot.read(in), Ballot.read(in), in.i64(), Ballot.read(in));
@@ -65,12 +66,12 @@
                     case HERE -> new Here(in.i64());
                     case PULL -> new Pull(in.i64());
                     case SNAPSHOT -> new Snapshot(in.blob());
-                    case STEP -> new Step(View.read(in), in.i64(), CoreState.Change.read(in));
+                    case STEP -> new Step(View.read(in), in.i64(), ClusterState.Change.read(in));
                     default -> new Handover(Ballot.read(in));
                 });
     }
 
-    private static ChainMessage readPromise(Codec.In in) {
+    private static ChainMessage readPromise(RecordReader in) {
         var ballot = Ballot.read(in);
         return switch (in.u8()) {
             case REFUSED -> new Refused(ballot, in.i64());
@@ -79,8 +80,8 @@
         };
     }
 
-    private static Codec.Out begin(int type, Ballot ballot) {
-        var out = new Codec.Out(type);
+    private static RecordWriter begin(int type, Ballot ballot) {
+        var out = new RecordWriter(type);
         ballot.write(out);
         return out;
     }
@@ -90,7 +91,7 @@
      * state.
      */
     record View(Ballot ballot, List<String> chain, Map<String, Long> learners) {
-        private static View read(Codec.In in) {
+        private static View read(RecordReader in) {
             var ballot = Ballot.read(in);
             var chain = in.texts();
             var learners = new TreeMap<String, Long>();
@@ -98,7 +99,7 @@
             return new View(ballot, chain, learners);
         }
 
-        private Codec.Out write(Codec.Out out) {
+        private RecordWriter write(RecordWriter out) {
             ballot.write(out);
             return out.texts(chain)
                     .list(learners.entrySet(), (o, e) -> o.text(e.getKey()).i64(e.getValue()));
@@ -116,7 +117,7 @@
     record Prepare(Ballot ballot, Ballot accepted, long edition, Ballot released)
             implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             var out = begin(PREPARE, ballot);
             accepted.write(out);
             out.i64(edition);
@@ -128,7 +129,7 @@
     /** No promise: a higher ballot was promised, or the head is heard well. */
     record Refused(Ballot ballot, long promised) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(PROMISE, ballot).u8(REFUSED).i64(promised);
         }
     }
@@ -140,7 +141,7 @@
     record Promised(Ballot ballot, boolean leaving, Ballot accepted, long edition, byte[] state)
             implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             var out = begin(PROMISE, ballot).u8(PROMISED).flag(leaving);
             accepted.write(out);
             return out.i64(edition).blob(state);
@@ -150,7 +151,7 @@
     /** An empty disk: no promise, but this member can learn the state under its nonce. */
     record Learner(Ballot ballot, long nonce) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(PROMISE, ballot).u8(LEARNER).i64(nonce);
         }
     }
@@ -162,8 +163,8 @@
     record Pass(View view, Ballot basis, List<String> holders, long edition, byte[] state)
             implements ChainMessage {
         @Override
-        public Codec.Out encode() {
-            var out = view.write(new Codec.Out(PASS));
+        public RecordWriter encode() {
+            var out = view.write(new RecordWriter(PASS));
             basis.write(out);
             return out.texts(holders).i64(edition).blob(state);
         }
@@ -173,10 +174,10 @@
      * One write as the change alone; a member that cannot take it is given the whole state at the
      * next sending.
      */
-    record Step(View view, long edition, CoreState.Change change) implements ChainMessage {
+    record Step(View view, long edition, ClusterState.Change change) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
-            var out = view.write(new Codec.Out(STEP)).i64(edition);
+        public RecordWriter encode() {
+            var out = view.write(new RecordWriter(STEP)).i64(edition);
             change.write(out);
             return out;
         }
@@ -185,7 +186,7 @@
     /** The rest of the chain has accepted an edition. */
     record PassAck(Ballot ballot, long edition) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(PASS_ACK, ballot).i64(edition);
         }
     }
@@ -193,7 +194,7 @@
     /** A pass came for a ballot below the one promised. */
     record Nack(Ballot ballot, long promised) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(NACK, ballot).i64(promised);
         }
     }
@@ -205,7 +206,7 @@
     record Heartbeat(Ballot ballot, long number, List<String> chain, long edition, long proofAgeUs)
             implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(HEARTBEAT, ballot).i64(number).texts(chain).i64(edition).i64(proofAgeUs);
         }
     }
@@ -213,7 +214,7 @@
     /** A heartbeat has reached the tail. */
     record HeartbeatAck(Ballot ballot, long number) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(HEARTBEAT_ACK, ballot).i64(number);
         }
     }
@@ -222,7 +223,7 @@
     record News(Ballot ballot, List<String> chain, long edition, long proofAgeUs)
             implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(NEWS, ballot).texts(chain).i64(edition).i64(proofAgeUs);
         }
     }
@@ -232,31 +233,31 @@
      */
     record Here(long promised) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
-            return new Codec.Out(HERE).i64(promised);
+        public RecordWriter encode() {
+            return new RecordWriter(HERE).i64(promised);
         }
     }
 
     /** Asks for the committed state if it is newer than an edition. */
     record Pull(long edition) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
-            return new Codec.Out(PULL).i64(edition);
+        public RecordWriter encode() {
+            return new RecordWriter(PULL).i64(edition);
         }
     }
 
     /** The committed state, to be known but not accepted. */
     record Snapshot(byte[] state) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
-            return new Codec.Out(SNAPSHOT).blob(state);
+        public RecordWriter encode() {
+            return new RecordWriter(SNAPSHOT).blob(state);
         }
     }
 
     /** The head of this view leaves and has the receiver bid for the next. */
     record Handover(Ballot view) implements ChainMessage {
         @Override
-        public Codec.Out encode() {
+        public RecordWriter encode() {
             return begin(HANDOVER, view);
         }
     }
--- a/core/src/main/java/martenloom/core/chain/DurableState.java
+++ b/core/src/main/java/martenloom/core/chain/DurableState.java
@@ -4,8 +4,8 @@
 import java.util.Deque;
 import java.util.Optional;
 import java.util.function.Consumer;
-import martenloom.core.chain.ChainCore.MemberState;
-import martenloom.core.chain.ChainCore.Store;
+import martenloom.core.chain.ChainMember.MemberState;
+import martenloom.core.chain.ChainMember.Store;
 
 /** What this member has on disk, and the one write that may be under way. */
 final class DurableState {
--- a/core/src/main/java/martenloom/core/chain/Heartbeats.java
+++ b/core/src/main/java/martenloom/core/chain/Heartbeats.java
@@ -1,16 +1,16 @@
 package martenloom.core.chain;
 
-import martenloom.core.chain.ChainCore.Mode;
+import martenloom.core.chain.ChainMember.Mode;
 
 /** Heartbeats of a head down its chain, and their way back from the tail. */
 final class Heartbeats {
     private final MemberContext member;
     private final ReadBarrier barrier;
     private final Replication replication;
-    private final ChainCore owner;
+    private final ChainMember owner;
 
     Heartbeats(
-            MemberContext member, ReadBarrier barrier, Replication replication, ChainCore owner) {
+            MemberContext member, ReadBarrier barrier, Replication replication, ChainMember owner) {
         this.member = member;
         this.barrier = barrier;
         this.replication = replication;
--- a/core/src/main/java/martenloom/core/chain/MemberContext.java
+++ b/core/src/main/java/martenloom/core/chain/MemberContext.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.core.chain.ChainCore.Ballot;
-import martenloom.core.chain.ChainCore.Command;
-import martenloom.core.chain.ChainCore.MemberState;
-import martenloom.core.chain.ChainCore.Mode;
-import martenloom.core.chain.ChainCore.Send;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember.Ballot;
+import martenloom.core.chain.ChainMember.Command;
+import martenloom.core.chain.ChainMember.MemberState;
+import martenloom.core.chain.ChainMember.Mode;
+import martenloom.core.chain.ChainMember.Send;
+import martenloom.core.state.ClusterState;
 
 /**
  * What the parts of one chain member share: who it is, what it does, what it holds, and its output.
@@ -53,7 +53,7 @@
     String headSeen = "";
 
     List<String> chainSeen = List.of();
-    CoreState committed;
+    ClusterState committed;
 
     /** The highest number of a ballot that was heard of. */
     long topNumber;
@@ -90,9 +90,9 @@
                 new DurableState(
                         kept.orElse(
                                 new MemberState(
-                                        Ballot.ZERO, Ballot.ZERO, CoreState.founded(List.of()))),
+                                        Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of()))),
                         output::add);
-        committed = CoreState.founded(state().roster);
+        committed = ClusterState.founded(state().roster);
         topNumber = promised().n();
         heardUs = nowUs - SILENT_US;
     }
@@ -101,7 +101,7 @@
         nowUs = Math.max(nowUs, t);
     }
 
-    CoreState state() {
+    ClusterState state() {
         return disk.kept().state;
     }
 
--- a/core/src/main/java/martenloom/core/chain/Membership.java
+++ b/core/src/main/java/martenloom/core/chain/Membership.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /**
  * Who belongs to the chain and to the roster, decided by the head between two writes.
@@ -39,7 +39,7 @@
     sealed interface Step permits Change, NewView, Nothing {}
 
     /** A change of the roster by one member, as an order like any other. */
-    record Change(CoreState.Change change) implements Step {}
+    record Change(ClusterState.Change change) implements Step {}
 
     /** A new view: with those that stand outside, or without those that leave. */
     record NewView() implements Step {}
@@ -121,14 +121,14 @@
         refresh();
         var struck = missingToStrike().or(this::leaverToStrike);
         if (struck.isPresent()) {
-            return change(CoreState.Act.ROSTER_OUT, struck.get());
+            return change(ClusterState.Act.ROSTER_OUT, struck.get());
         }
         if (mayLetGo() && !leaves(member.me)) {
             return new NewView();
         }
         var enrolled = toEnrol();
         if (enrolled.isPresent()) {
-            return change(CoreState.Act.ROSTER, enrolled.get());
+            return change(ClusterState.Act.ROSTER, enrolled.get());
         }
         return member.nowUs - member.viewSinceUs >= MemberContext.SETTLE_US && someoneWaitsOutside()
                 ? new NewView()
@@ -151,8 +151,8 @@
         return Optional.of(staying().get(0));
     }
 
-    private static Step change(CoreState.Act act, String subject) {
-        return new Change(new CoreState.Change(act, 0, subject, ""));
+    private static Step change(ClusterState.Act act, String subject) {
+        return new Change(new ClusterState.Change(act, 0, subject, ""));
     }
 
     private List<String> roster() {
--- a/core/src/main/java/martenloom/core/chain/NewsExchange.java
+++ b/core/src/main/java/martenloom/core/chain/NewsExchange.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.TreeSet;
-import martenloom.core.chain.ChainCore.Committed;
-import martenloom.core.chain.ChainCore.Mode;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember.Committed;
+import martenloom.core.chain.ChainMember.Mode;
+import martenloom.core.state.ClusterState;
 
 /**
  * What a head tells all outside its chain, and what they do with it: they say that they are here,
@@ -88,7 +88,7 @@
     }
 
     void onSnapshot(ChainMessage.Snapshot snapshot) {
-        var state = CoreState.of(snapshot.state());
+        var state = ClusterState.of(snapshot.state());
         if (state.edition > member.committed.edition) {
             member.committed = state;
             member.output.add(new Committed(state));
--- a/core/src/main/java/martenloom/core/chain/ReadBarrier.java
+++ b/core/src/main/java/martenloom/core/chain/ReadBarrier.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import martenloom.core.chain.ChainCore.Answer;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember.Answer;
+import martenloom.core.state.ClusterState;
 
 /**
  * Heartbeats as proof: one that was sent after a question and has run the whole chain shows that no
@@ -15,7 +15,7 @@
     private static final int REMEMBERED = 64;
 
     /** An answer that writes nothing, until the heartbeat that proves this head. */
-    private record Unproven(long request, CoreState.Outcome outcome, long barrier) {}
+    private record Unproven(long request, ClusterState.Outcome outcome, long barrier) {}
 
     private final Consumer<Answer> output;
     private final Deque<Unproven> unproven = new ArrayDeque<>();
@@ -83,7 +83,7 @@
         }
     }
 
-    void await(long request, CoreState.Outcome outcome, long barrier) {
+    void await(long request, ClusterState.Outcome outcome, long barrier) {
         unproven.add(new Unproven(request, outcome, barrier));
     }
 
--- a/core/src/main/java/martenloom/core/chain/Replication.java
+++ b/core/src/main/java/martenloom/core/chain/Replication.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Optional;
-import martenloom.core.chain.ChainCore.Ballot;
-import martenloom.core.chain.ChainCore.Committed;
-import martenloom.core.chain.ChainCore.MemberState;
-import martenloom.core.chain.ChainCore.Mode;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember.Ballot;
+import martenloom.core.chain.ChainMember.Committed;
+import martenloom.core.chain.ChainMember.MemberState;
+import martenloom.core.chain.ChainMember.Mode;
+import martenloom.core.state.ClusterState;
 
 /**
  * The way of a state down the chain: each member makes it durable before it passes it on, the tail
@@ -16,10 +16,10 @@
     private static final long RESEND_US = 400_000;
 
     private final MemberContext member;
-    private final ChainCore owner;
+    private final ChainMember owner;
 
     /** The write that is to be passed on as the change alone, at its first sending. */
-    private Optional<CoreState.Change> change = Optional.empty();
+    private Optional<ClusterState.Change> change = Optional.empty();
 
     /**
      * The view in which the state that opens this one was accepted, and who holds just that state.
@@ -29,7 +29,7 @@
     private List<String> holders = List.of();
     private long sentUs;
 
-    Replication(MemberContext member, ChainCore owner) {
+    Replication(MemberContext member, ChainMember owner) {
         this.member = member;
         this.owner = owner;
     }
@@ -37,7 +37,7 @@
     // ---- at the head
 
     /** Makes the state that opens a view durable here, then passes it on. */
-    void open(CoreState state, Ballot acceptedIn, List<String> heldBy) {
+    void open(ClusterState state, Ballot acceptedIn, List<String> heldBy) {
         change = Optional.empty();
         basis = acceptedIn;
         holders = heldBy;
@@ -52,7 +52,7 @@
     }
 
     /** Makes the state that a change led to durable here, then passes the change on. */
-    void write(CoreState.Change made, CoreState next) {
+    void write(ClusterState.Change made, ClusterState next) {
         var ballot = member.view;
         member.store(
                 new MemberState(ballot, ballot, next),
@@ -177,9 +177,9 @@
     }
 
     /** The state that a pass brings; nothing when it is only named and this member has another. */
-    private Optional<CoreState> passed(ChainMessage.Pass pass) {
+    private Optional<ClusterState> passed(ChainMessage.Pass pass) {
         if (pass.state().length > 0) {
-            return Optional.of(CoreState.of(pass.state()));
+            return Optional.of(ClusterState.of(pass.state()));
         }
         var acceptedIn = member.accepted();
         var held =
@@ -191,7 +191,7 @@
                 : Optional.empty();
     }
 
-    private void passFurther(ChainMessage.Pass pass, CoreState state) {
+    private void passFurther(ChainMessage.Pass pass, ClusterState state) {
         var view = pass.view();
         if (!member.accepted().equals(view.ballot()) || member.state().edition != state.edition) {
             return;
--- a/core/src/main/java/martenloom/core/chain/ViewAgreement.java
+++ b/core/src/main/java/martenloom/core/chain/ViewAgreement.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import martenloom.core.chain.ChainCore.Ballot;
-import martenloom.core.chain.ChainCore.MemberState;
-import martenloom.core.chain.ChainCore.Mode;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember.Ballot;
+import martenloom.core.chain.ChainMember.MemberState;
+import martenloom.core.chain.ChainMember.Mode;
+import martenloom.core.state.ClusterState;
 
 /**
  * Agreeing on a view: a bidder asks the roster for promises to its ballot, and with a majority of
@@ -38,7 +38,7 @@
     private static final long OUTSIDER_RESTS_US = 3_000_000;
 
     /** A promise: what was accepted last, and the state where it came with it. */
-    private record Vote(Ballot accepted, long edition, Optional<CoreState> state) {}
+    private record Vote(Ballot accepted, long edition, Optional<ClusterState> state) {}
 
     private static final class Bid {
         private final Ballot ballot;
@@ -77,12 +77,12 @@
 
     private final MemberContext member;
     private final Membership membership;
-    private final ChainCore owner;
+    private final ChainMember owner;
     private Bid bid = new Bid(Ballot.ZERO, 0, Ballot.ZERO, Set.of());
     private Ballot handedOver = Ballot.ZERO;
     private long bids;
 
-    ViewAgreement(MemberContext member, Membership membership, ChainCore owner) {
+    ViewAgreement(MemberContext member, Membership membership, ChainMember owner) {
         this.member = member;
         this.membership = membership;
         this.owner = owner;
@@ -262,8 +262,8 @@
             }
             var state =
                     promised.state().length == 0
-                            ? Optional.<CoreState>empty()
-                            : Optional.of(CoreState.of(promised.state()));
+                            ? Optional.<ClusterState>empty()
+                            : Optional.of(ClusterState.of(promised.state()));
             bid.votes.put(from, new Vote(promised.accepted(), promised.edition(), state));
         }
         tryForm();
--- a/core/src/main/java/martenloom/core/duty/DutyService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -1,4 +1,4 @@
-package martenloom.core.duty;
+package martenloom.core.lease;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,31 +9,31 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.core.api.ControlApi;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * The duty leases, kept by the head: a grant is written through the chain, a renewal needs a
  * heartbeat that came after it. Another candidate is written only when the holder was not heard for
  * longer than any lease of it can run.
  */
-public final class DutyService {
+public final class RoleLeaseService {
     public static final long LEASE_US = 2_500_000;
     private static final long WAIT_US = 3_200_000;
 
     private record Want(String key, String holder, long stamp, Consumer<byte[]> reply, long atUs) {}
 
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final ControlApi.OrderForwarder ask;
     private final LongSupplier clockUs;
     private final Map<String, Want> wants = new TreeMap<>();
     private final Map<String, Long> renewed = new HashMap<>();
     private final Set<String> writing = new HashSet<>();
 
-    public DutyService(ChainCore c, ControlApi.OrderForwarder ask, LongSupplier clockUs) {
+    public RoleLeaseService(ChainMember c, ControlApi.OrderForwarder ask, LongSupplier clockUs) {
         chain = c;
         this.ask = ask;
         this.clockUs = clockUs;
@@ -88,7 +88,7 @@
                             .map(d -> d.grant)
                             .orElse(0L);
             ask.ask(
-                    new CoreState.Change(CoreState.Act.DUTY, newest, w.key, w.holder),
+                    new ClusterState.Change(ClusterState.Act.DUTY, newest, w.key, w.holder),
                     (s, t) -> {
                         writing.remove(w.key);
                         if (s == 200) {
@@ -101,7 +101,7 @@
 
     private static void grant(Want w, long g) {
         w.reply.accept(
-                new Codec.Out(FleetRecords.DUTY_GRANT)
+                new RecordWriter(RecordType.LEASE_GRANT)
                         .text(w.holder)
                         .text(w.key)
                         .i64(g)
--- a/core/src/main/java/martenloom/core/load/LoadAggregator.java
+++ b/core/src/main/java/martenloom/core/load/LoadAggregator.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.load.LoadSummary;
 
 /**
@@ -131,7 +131,7 @@
         return !placesHere.isEmpty();
     }
 
-    public void writePlaces(Codec.Out o, Way way) {
+    public void writePlaces(RecordWriter o, Way way) {
         var m =
                 switch (way) {
                     case EDGES -> placesHere;
--- a/core/src/main/java/martenloom/core/placement/PlacementService.java
+++ b/core/src/main/java/martenloom/core/placement/PlacementService.java
@@ -6,9 +6,9 @@
 import java.util.function.Function;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainCore;
+import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.Registry;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import martenloom.routing.placement.Placement;
 import martenloom.routing.route.RouteTable;
 
@@ -19,12 +19,15 @@
  */
 public final class PlacementService {
     private final Settings settings;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final Registry registry;
-    private final Function<CoreState, RouteTable> table;
+    private final Function<ClusterState, RouteTable> table;
 
     public PlacementService(
-            Settings p, ChainCore chain, Registry registry, Function<CoreState, RouteTable> table) {
+            Settings p,
+            ChainMember chain,
+            Registry registry,
+            Function<ClusterState, RouteTable> table) {
         settings = p;
         this.chain = chain;
         this.registry = registry;
@@ -46,7 +49,7 @@
     public SortedSet<Placement.Finding> exposure() {
         var s = chain.committed();
         var t = table.apply(s);
-        return CoreState.rested(now(), t, s.scales).findings(t);
+        return ClusterState.rested(now(), t, s.scales).findings(t);
     }
 
     private Set<Placement.Finding> exposed = Set.of();
@@ -77,12 +80,14 @@
         var t = table.apply(s);
         var to = new TreeMap<>(s.scales);
         if (order.equals("unload")) {
-            to.put(key, new CoreState.Scale(0, true, 0, Set.of()));
+            to.put(key, new ClusterState.Scale(0, true, 0, Set.of()));
         } else {
             to.remove(key);
         }
         var p = now();
-        var bad = Placement.added(CoreState.rested(p, t, s.scales), CoreState.rested(p, t, to), t);
+        var bad =
+                Placement.added(
+                        ClusterState.rested(p, t, s.scales), ClusterState.rested(p, t, to), t);
         return bad.isEmpty()
                 ? "ok: nothing is stranded\n"
                 : String.join("\n", bad.stream().map(Placement.Finding::text).toList()) + "\n";
--- a/core/src/main/java/martenloom/core/registry/Registry.java
+++ b/core/src/main/java/martenloom/core/registry/Registry.java
@@ -12,8 +12,12 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.DigestRanges;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.RecordType;
+import martenloom.common.fleet.ReplicaRecord;
 
 /**
  * The registry of replicas and edges at one core daemon. What comes in directly is flooded to the
@@ -36,15 +40,15 @@
     private static final long TELL_US = 1_200_000;
 
     private static final class Shard {
-        final Map<String, FleetRecords.Replica> replicas = new HashMap<>();
-        final Map<String, FleetRecords.Edge> edges = new HashMap<>();
+        final Map<String, ReplicaRecord> replicas = new HashMap<>();
+        final Map<String, EdgeRecord> edges = new HashMap<>();
     }
 
-    private final Shard[] shards = new Shard[FleetRecords.RANGES];
+    private final Shard[] shards = new Shard[DigestRanges.COUNT];
     private final long silentUs;
-    private final Map<String, FleetRecords.Replica> freshReplicas = new LinkedHashMap<>();
-    private final Map<String, FleetRecords.Edge> freshEdges = new LinkedHashMap<>();
-    private final Map<String, FleetRecords.Replica> changed = new LinkedHashMap<>();
+    private final Map<String, ReplicaRecord> freshReplicas = new LinkedHashMap<>();
+    private final Map<String, EdgeRecord> freshEdges = new LinkedHashMap<>();
+    private final Map<String, ReplicaRecord> changed = new LinkedHashMap<>();
     private final Map<String, Long> toldUs = new HashMap<>();
     private volatile boolean digestOld = true;
     private volatile boolean endsChanged;
@@ -56,7 +60,7 @@
     }
 
     private Shard of(String k) {
-        return shards[FleetRecords.range(k)];
+        return shards[DigestRanges.of(k)];
     }
 
     /**
@@ -64,7 +68,7 @@
      * kept is not taken, so that copies which daemons pass to each other never outlive the
      * original.
      */
-    public boolean take(FleetRecords.Replica r, boolean direct) {
+    public boolean take(ReplicaRecord r, boolean direct) {
         if (Clocks.nowUs() - r.heardUs > keptUs(r)) {
             return false;
         }
@@ -93,7 +97,7 @@
      * replica drains or has ended is told on by every daemon that hears of it first, so that it
      * also passes around a cut between two of them.
      */
-    private synchronized void mark(FleetRecords.Replica r, boolean direct, boolean same) {
+    private synchronized void mark(ReplicaRecord r, boolean direct, boolean same) {
         var ends = !same && (r.draining || r.gone);
         if (direct || ends) {
             freshReplicas.put(r.id, r);
@@ -105,7 +109,7 @@
         }
     }
 
-    public boolean take(FleetRecords.Edge e, boolean direct) {
+    public boolean take(EdgeRecord e, boolean direct) {
         var s = of(e.ip);
         synchronized (s) {
             var old = Optional.ofNullable(s.edges.get(e.ip));
@@ -121,21 +125,21 @@
     }
 
     /** A renewal that says nothing new is told on only now and then, well within the lease. */
-    private synchronized void tell(FleetRecords.Edge e, boolean same) {
+    private synchronized void tell(EdgeRecord e, boolean same) {
         if (!same || e.heardUs - toldUs.getOrDefault(e.ip, 0L) >= TELL_US) {
             toldUs.put(e.ip, e.heardUs);
             freshEdges.put(e.ip, e);
         }
     }
 
-    public Optional<FleetRecords.Replica> replica(String id) {
+    public Optional<ReplicaRecord> replica(String id) {
         var s = of(id);
         synchronized (s) {
             return Optional.ofNullable(s.replicas.get(id));
         }
     }
 
-    private static long keptUs(FleetRecords.Replica r) {
+    private static long keptUs(ReplicaRecord r) {
         return r.gone ? TOMBSTONE_US : FORGET_US;
     }
 
@@ -144,7 +148,7 @@
      * any beat, travels as rows do, and is bounded in age and number.
      */
     public void bury(String id, long now) {
-        var tombstone = new FleetRecords.Replica();
+        var tombstone = new ReplicaRecord();
         replica(id)
                 .ifPresent(
                         r -> {
@@ -172,7 +176,7 @@
         var tombstones =
                 replicas().stream()
                         .filter(r -> r.gone)
-                        .sorted(Comparator.comparingLong((FleetRecords.Replica r) -> r.heardUs))
+                        .sorted(Comparator.comparingLong((ReplicaRecord r) -> r.heardUs))
                         .toList();
         for (var r : tombstones.subList(0, Math.max(0, tombstones.size() - MOST_TOMBSTONES))) {
             var s = of(r.id);
@@ -203,7 +207,7 @@
         }
     }
 
-    public List<FleetRecords.Replica> replicas() {
+    public List<ReplicaRecord> replicas() {
         return Stream.of(shards)
                 .flatMap(
                         s -> {
@@ -215,7 +219,7 @@
                 .toList();
     }
 
-    public List<FleetRecords.Edge> edges() {
+    public List<EdgeRecord> edges() {
         return Stream.of(shards)
                 .flatMap(
                         s -> {
@@ -228,11 +232,11 @@
     }
 
     /** The members among the edges: those whose lease still runs. */
-    public List<FleetRecords.Edge> members(long now) {
+    public List<EdgeRecord> members(long now) {
         return edges().stream().filter(e -> now - e.heardUs < EDGE_LEASE_US).toList();
     }
 
-    public synchronized List<FleetRecords.Replica> pollChanged() {
+    public synchronized List<ReplicaRecord> pollChanged() {
         var l = new ArrayList<>(changed.values());
         changed.clear();
         endsChanged = false;
@@ -258,9 +262,8 @@
         return flood(replica(id).stream().toList(), List.of(), now);
     }
 
-    private static byte[] flood(
-            Collection<FleetRecords.Replica> rs, Collection<FleetRecords.Edge> es, long now) {
-        return new Codec.Out(FleetRecords.FLOOD)
+    private static byte[] flood(Collection<ReplicaRecord> rs, Collection<EdgeRecord> es, long now) {
+        return new RecordWriter(RecordType.REGISTRY_UPDATE)
                 .i64(now)
                 .list(rs, (o, r) -> r.write(o, now))
                 .list(es, (o, e) -> e.write(o, now))
@@ -271,13 +274,13 @@
      * Takes the rows of a flood that left its sender at this time of our clock, from which their
      * ages count.
      */
-    public void takeFlood(Codec.In in, long sentUs) {
-        in.list(x -> take(FleetRecords.Replica.read(x, sentUs), false));
-        in.list(x -> take(FleetRecords.Edge.read(x, sentUs), false));
+    public void takeFlood(RecordReader in, long sentUs) {
+        in.list(x -> take(ReplicaRecord.read(x, sentUs), false));
+        in.list(x -> take(EdgeRecord.read(x, sentUs), false));
     }
 
     public byte[] digests() {
-        var o = new Codec.Out(FleetRecords.DIGEST);
+        var o = new RecordWriter(RecordType.REGISTRY_DIGEST);
         for (var s : shards) {
             synchronized (s) {
                 o.i32(digest(s));
@@ -298,9 +301,9 @@
     }
 
     /** Our rows of the ranges in which a peer's digests differ from ours. */
-    public Optional<byte[]> mend(Codec.In in, long now) {
-        var rs = new ArrayList<FleetRecords.Replica>();
-        var es = new ArrayList<FleetRecords.Edge>();
+    public Optional<byte[]> mend(RecordReader in, long now) {
+        var rs = new ArrayList<ReplicaRecord>();
+        var es = new ArrayList<EdgeRecord>();
         for (var s : shards) {
             var d = in.i32();
             synchronized (s) {
@@ -313,8 +316,8 @@
         return rs.isEmpty() && es.isEmpty() ? Optional.empty() : Optional.of(flood(rs, es, now));
     }
 
-    public byte[] rows(Collection<FleetRecords.Replica> rs, boolean whole, long now) {
-        return new Codec.Out(FleetRecords.REPLICAS)
+    public byte[] rows(Collection<ReplicaRecord> rs, boolean whole, long now) {
+        return new RecordWriter(RecordType.REPLICA_UPDATE)
                 .flag(whole)
                 .list(rs, (o, r) -> r.write(o, now))
                 .bytes();
@@ -325,7 +328,7 @@
      * as they were.
      */
     public byte[] memo(int mostEdges, int mostHomes, long now) {
-        return new Codec.Out()
+        return new RecordWriter()
                 .i32(mostEdges)
                 .i32(mostHomes)
                 .list(replicas(), (o, r) -> r.write(o, now))
@@ -336,12 +339,12 @@
      * Takes the replicas of a note. They may be gone, which a attempt finds out, or cold, so they
      * count as cold until their next beat says otherwise. Tombstones keep their age.
      */
-    public int remember(Codec.In in, long now, long coldUs) {
+    public int remember(RecordReader in, long now, long coldUs) {
         return (int)
                 in
                         .list(
                                 x -> {
-                                    var r = FleetRecords.Replica.read(x, now);
+                                    var r = ReplicaRecord.read(x, now);
                                     if (r.gone) {
                                         take(r, false);
                                         return false;
--- a/core/src/main/java/martenloom/core/state/AppliedChanges.java
+++ b/core/src/main/java/martenloom/core/state/AppliedChanges.java
@@ -1,7 +1,8 @@
 package martenloom.core.state;
 
 import java.util.Arrays;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 
 /**
  * The configuration changes that were applied, newest last, as one packed array of 16-byte digests.
@@ -53,12 +54,12 @@
     }
 
     /** Writes the record as one block of bytes. */
-    public void write(Codec.Out out) {
+    public void write(RecordWriter out) {
         out.blob(packed);
     }
 
     /** Reads what {@link #write} wrote. */
-    public static AppliedChanges read(Codec.In in) {
+    public static AppliedChanges read(RecordReader in) {
         var packed = in.blob();
         return new AppliedChanges(
                 Arrays.copyOf(packed, packed.length / DIGEST_BYTES * DIGEST_BYTES));
--- a/core/src/main/java/martenloom/core/state/CoreState.java
+++ b/core/src/main/java/martenloom/core/state/ClusterState.java
@@ -13,8 +13,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import martenloom.common.codec.Codec;
-import martenloom.common.error.Fault;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.error.InvalidConfigurationException;
+import martenloom.common.error.MartenloomException;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.placement.Placement;
@@ -26,7 +28,7 @@
  * decide() is the only way from one state to the next, and says by status what the caller is to be
  * told.
  */
-public final class CoreState {
+public final class ClusterState {
     /**
      * What the caller of a stale order is told inside the core: the order did nothing and may be
      * given anew. The control desk answers it with 503, since the same call sent again gets a fresh
@@ -76,11 +78,11 @@
      * operator: all rest.
      */
     public record Scale(int desired, boolean pinned, long grant, Set<String> resting) {
-        private void write(Codec.Out o) {
+        private void write(RecordWriter o) {
             o.i32(desired).flag(pinned).i64(grant).texts(resting);
         }
 
-        private static Scale read(Codec.In in) {
+        private static Scale read(RecordReader in) {
             return new Scale(in.i32(), in.flag(), in.i64(), new TreeSet<>(in.texts()));
         }
     }
@@ -191,7 +193,7 @@
             return new Change(act, base, subject, body, atUs, survey, v);
         }
 
-        public void write(Codec.Out o) {
+        public void write(RecordWriter o) {
             o.u8(act.ordinal())
                     .i64(base)
                     .text(subject)
@@ -201,7 +203,7 @@
                     .i64(version);
         }
 
-        public static Change read(Codec.In in) {
+        public static Change read(RecordReader in) {
             return new Change(
                     Act.values()[in.u8()],
                     in.i64(),
@@ -220,16 +222,16 @@
     public static final class Outcome {
         public final int status;
         public final String text;
-        public final Optional<CoreState> next;
+        public final Optional<ClusterState> next;
 
-        public Outcome(int s, String t, Optional<CoreState> n) {
+        public Outcome(int s, String t, Optional<ClusterState> n) {
             status = s;
             text = t;
             next = n;
         }
     }
 
-    private CoreState(Draft d) {
+    private ClusterState(Draft d) {
         edition = d.edition;
         roster = List.copyOf(d.roster);
         revision = d.revision;
@@ -266,7 +268,7 @@
 
         Outcome done(String text) {
             edition++;
-            return new Outcome(200, text, Optional.of(new CoreState(this)));
+            return new Outcome(200, text, Optional.of(new ClusterState(this)));
         }
     }
 
@@ -287,15 +289,15 @@
         return d;
     }
 
-    public static CoreState founded(List<String> roster) {
+    public static ClusterState founded(List<String> roster) {
         var d = new Draft();
         d.roster = roster;
-        return new CoreState(d);
+        return new ClusterState(d);
     }
 
     public byte[] bytes() {
         var o =
-                new Codec.Out()
+                new RecordWriter()
                         .i64(edition)
                         .texts(roster)
                         .i64(revision)
@@ -312,8 +314,8 @@
         return o.texts(departed).bytes();
     }
 
-    public static CoreState of(byte[] b) {
-        var in = new Codec.In(b, false);
+    public static ClusterState of(byte[] b) {
+        var in = new RecordReader(b, false);
         var d = new Draft();
         d.edition = in.i64();
         d.roster = in.texts();
@@ -333,7 +335,7 @@
         in.list(x -> versions.put(x.text(), x.i64()));
         d.versions = versions;
         d.departed = new TreeSet<>(in.texts());
-        return new CoreState(d);
+        return new ClusterState(d);
     }
 
     /**
@@ -422,7 +424,7 @@
             d.routingText = s.routingText;
             d.applied = applied.with(digest);
             return d.done("");
-        } catch (Fault f) {
+        } catch (MartenloomException f) {
             return refused(400, f.getMessage());
         } catch (RuntimeException e) {
             return refused(
@@ -644,8 +646,8 @@
             md.update(head.getBytes(StandardCharsets.UTF_8));
             return md.digest(body);
         } catch (NoSuchAlgorithmException e) {
-            throw Fault.here(
-                    Fault.Code.CONFIGURATION, "digest configuration", "SHA-256 is not to be had");
+            throw new InvalidConfigurationException(
+                    "digest configuration", "SHA-256 is not to be had");
         }
     }
 }
--- a/core/src/main/java/martenloom/core/state/JobTable.java
+++ b/core/src/main/java/martenloom/core/state/JobTable.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
 
 /**
@@ -34,11 +35,11 @@
     /** What a call comes to. */
     public record Said(int status, String text, Optional<JobTable> next) {}
 
-    public void write(Codec.Out o) {
+    public void write(RecordWriter o) {
         o.i64(clockUs).list(jobs.values(), (w, j) -> j.write(w));
     }
 
-    public static JobTable read(Codec.In in) {
+    public static JobTable read(RecordReader in) {
         var c = in.i64();
         var m = new TreeMap<String, Job>();
         in.list(
@@ -67,14 +68,14 @@
         return new Said(200, text, Optional.of(new JobTable(Math.max(clockUs, at), m)));
     }
 
-    public Said decide(CoreState.Change c, Map<String, CoreState.Duty> duties) {
-        if (c.act == CoreState.Act.JOB_CLOCK) {
+    public Said decide(ClusterState.Change c, Map<String, ClusterState.Duty> duties) {
+        if (c.act == ClusterState.Act.JOB_CLOCK) {
             return tick(c.atUs);
         }
-        if (c.act == CoreState.Act.JOB_LIST) {
+        if (c.act == ClusterState.Act.JOB_LIST) {
             return no(200, list(c.atUs));
         }
-        if (c.act == CoreState.Act.JOB_SUBMIT) {
+        if (c.act == ClusterState.Act.JOB_SUBMIT) {
             return submit(c);
         }
         var j = Optional.ofNullable(jobs.get(c.subject));
@@ -90,8 +91,8 @@
         };
     }
 
-    private Said submit(CoreState.Change c) {
-        var j = Job.read(new Codec.In(Base64.getDecoder().decode(c.body), false));
+    private Said submit(ClusterState.Change c) {
+        var j = Job.read(new RecordReader(Base64.getDecoder().decode(c.body), false));
         var old = Optional.ofNullable(jobs.get(j.id));
         if (old.isPresent()) {
             return old.get().digest.equals(j.digest)
@@ -139,7 +140,7 @@
                 : no(200, new String(j.result, StandardCharsets.UTF_8));
     }
 
-    private Said confirm(CoreState.Change c, Job j) {
+    private Said confirm(ClusterState.Change c, Job j) {
         if (j.state != Job.State.DONE) {
             return no(409, "job '" + j.id + "' is " + j.state.word());
         }
@@ -153,7 +154,7 @@
         return put(c.atUs, n, "");
     }
 
-    private Said cancel(CoreState.Change c, Job j) {
+    private Said cancel(ClusterState.Change c, Job j) {
         if (j.state == Job.State.CANCELLED) {
             return no(200, "");
         }
@@ -183,12 +184,12 @@
 
     // ---- what the holder of the duty says; base is its fence, version the number of the run
 
-    private Said fenced(CoreState.Change c, Job j, Map<String, CoreState.Duty> duties) {
+    private Said fenced(ClusterState.Change c, Job j, Map<String, ClusterState.Duty> duties) {
         var d = Optional.ofNullable(duties.get(j.duty()));
         if (d.isEmpty() || d.get().grant != c.base) {
             return no(409, "fence " + c.base + " is not the grant in force");
         }
-        if (c.act == CoreState.Act.JOB_START) {
+        if (c.act == ClusterState.Act.JOB_START) {
             return start(c, j);
         }
         if (j.state != Job.State.RUNNING || j.fence != c.base || j.runs != c.version) {
@@ -203,7 +204,7 @@
                             + ", run "
                             + j.runs);
         }
-        var in = new Codec.In(Base64.getDecoder().decode(c.body), false);
+        var in = new RecordReader(Base64.getDecoder().decode(c.body), false);
         return switch (c.act) {
             case JOB_KEEP -> {
                 var n = j.copy();
@@ -251,7 +252,7 @@
      * Starts the run after the one that the holder knew of: a copy that comes after that run was
      * taken back starts nothing.
      */
-    private Said start(CoreState.Change c, Job j) {
+    private Said start(ClusterState.Change c, Job j) {
         if (j.runs != c.version) {
             return no(409, "job '" + j.id + "' has had " + j.runs + " runs, not " + c.version);
         }
@@ -274,7 +275,7 @@
         n.fence = c.base;
         n.runs++;
         n.why = "running at " + c.body;
-        var o = new Codec.Out();
+        var o = new RecordWriter();
         n.write(o);
         return put(c.atUs, n, Base64.getEncoder().encodeToString(o.bytes()));
     }
@@ -283,7 +284,7 @@
      * How a run came to nothing: 0 it did not run, 1 it may have run, 2 the replica's answer was a
      * failure.
      */
-    private Said back(CoreState.Change c, Job j, int how, String why) {
+    private Said back(ClusterState.Change c, Job j, int how, String why) {
         if (how == 1 && !j.repeatable) {
             return put(c.atUs, ended(j, Job.State.UNCERTAIN, why, c.atUs), "");
         }
--- a/core/src/main/java/martenloom/core/storage/VersionedStore.java
+++ b/core/src/main/java/martenloom/core/storage/VersionedStore.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 import java.util.zip.CRC32;
-import martenloom.common.error.Fault;
+import martenloom.common.error.StorageException;
 import martenloom.common.log.RingLog;
 
 /**
@@ -306,7 +306,7 @@
             try {
                 return a.run();
             } catch (IOException e) {
-                throw Fault.here(Fault.Code.DISK, step, String.valueOf(e.getMessage()));
+                throw new StorageException(step, String.valueOf(e.getMessage()));
             }
         }
 
--- a/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
+++ b/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
@@ -7,20 +7,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.EdgeRecord;
 import martenloom.routing.route.RouteTable;
 import org.junit.jupiter.api.Test;
 
 /** Which edges a lookup names. */
 final class EdgeDirectoryTest {
-    private final List<FleetRecords.Edge> ready =
+    private final List<EdgeRecord> ready =
             List.of(
                     edge("n", "north-a", "north"),
                     edge("s", "south-b", "south"),
                     edge("w", "west-c", "west"));
 
-    private static FleetRecords.Edge edge(String ip, String zone, String region) {
-        var edge = new FleetRecords.Edge();
+    private static EdgeRecord edge(String ip, String zone, String region) {
+        var edge = new EdgeRecord();
         edge.ip = ip;
         edge.zone = zone;
         edge.region = region;
--- a/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.core.chain.ChainCore.Ballot;
-import martenloom.core.chain.ChainCore.MemberState;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember.Ballot;
+import martenloom.core.chain.ChainMember.MemberState;
+import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -22,8 +22,8 @@
     private static final Ballot SECOND = new Ballot(4, "b");
     private static final ChainMessage.View VIEW =
             new ChainMessage.View(SECOND, List.of("b", "c"), Map.of("c", 9L));
-    private static final CoreState.Change CHANGE =
-            new CoreState.Change(CoreState.Act.ROSTER, 7, "d", "x");
+    private static final ClusterState.Change CHANGE =
+            new ClusterState.Change(ClusterState.Act.ROSTER, 7, "d", "x");
 
     @Test
     void eachMessageIsReadAsItWasWritten() {
@@ -49,7 +49,7 @@
                 all.stream().map(Object::getClass).distinct().count());
         for (var message : all) {
             var bytes = message.encode().bytes();
-            assertTrue(bytes[0] <= ChainCore.LAST_TYPE);
+            assertTrue(bytes[0] <= ChainMember.LAST_TYPE);
             var read = ChainMessage.decode(bytes).orElseThrow();
             assertEquals(message.getClass(), read.getClass());
             assertArrayEquals(bytes, read.encode().bytes());
@@ -63,25 +63,25 @@
      */
     @Test
     void aStateThatIsOnlyNamedIsTakenByItsHolderAlone() {
-        var state = CoreState.founded(List.of("b", "c"));
+        var state = ClusterState.founded(List.of("b", "c"));
         assertEquals(1, storesAfterNaming(FIRST, state));
         assertEquals(0, storesAfterNaming(new Ballot(2, "a"), state));
     }
 
-    private static long storesAfterNaming(Ballot acceptedIn, CoreState state) {
+    private static long storesAfterNaming(Ballot acceptedIn, ClusterState state) {
         var kept = Optional.of(new MemberState(FIRST, acceptedIn, state));
-        var member = new ChainCore("c", 1, kept, Comparator.naturalOrder(), 0);
+        var member = new ChainMember("c", 1, kept, Comparator.naturalOrder(), 0);
         var view = new ChainMessage.View(SECOND, List.of("b", "c"), Map.of());
         var pass = new ChainMessage.Pass(view, FIRST, List.of("c"), state.edition, new byte[0]);
         member.onRecord(10, "b", pass.encode().bytes());
-        return member.drain().stream().filter(c -> c instanceof ChainCore.Store).count();
+        return member.drain().stream().filter(c -> c instanceof ChainMember.Store).count();
     }
 
     /** The view that the promise was for may need the leaver: it must not end on older news. */
     @Test
     void aPromiseTakesBackTheReleaseOfALeaver() {
-        var kept = new MemberState(FIRST, FIRST, CoreState.founded(List.of("a", "b", "c")));
-        var member = new ChainCore("c", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
+        var kept = new MemberState(FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
+        var member = new ChainMember("c", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
         member.onLeave(10);
         member.onRecord(20, "b", bytes(new ChainMessage.News(SECOND, List.of("b", "a"), 0, 0)));
         assertTrue(member.released(30));
@@ -97,10 +97,10 @@
     /** Its promise was forgotten with its disk: it is a learner, and no part of the majority. */
     @Test
     void whoPromisedAndWasWipedDoesNotCountInTheBid() {
-        var kept = new MemberState(FIRST, FIRST, CoreState.founded(List.of("a", "b", "c")));
-        var bidder = new ChainCore("a", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
+        var kept = new MemberState(FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
+        var bidder = new ChainMember("a", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
         bidder.onTick(2_000_000);
-        assertEquals(ChainCore.Mode.BIDDING, bidder.mode());
+        assertEquals(ChainMember.Mode.BIDDING, bidder.mode());
         carryOutStores(bidder, 2_001_000);
         var ballot = bidder.memberState().promised;
         var promise = new ChainMessage.Promised(ballot, false, FIRST, 0, new byte[0]);
@@ -109,37 +109,39 @@
         bidder.onRecord(2_003_000, "b", bytes(learner));
         bidder.onRecord(2_004_000, "b", bytes(promise));
         bidder.onTick(2_500_000);
-        assertEquals(ChainCore.Mode.BIDDING, bidder.mode(), "one promise of three is no majority");
+        assertEquals(
+                ChainMember.Mode.BIDDING, bidder.mode(), "one promise of three is no majority");
         bidder.onRecord(2_600_000, "c", bytes(promise));
-        assertEquals(ChainCore.Mode.STARTING, bidder.mode());
+        assertEquals(ChainMember.Mode.STARTING, bidder.mode());
         assertEquals(List.of("a", "c", "b"), bidder.chain());
     }
 
     /** Bids that cannot form a view would only take back the promises that another one needs. */
     @Test
     void whoFindsItselfOutsideTheNewestRosterStopsBiddingForAWhile() {
-        var kept = new MemberState(FIRST, FIRST, CoreState.founded(List.of("a", "b", "c")));
-        var outsider = new ChainCore("a", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
+        var kept = new MemberState(FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
+        var outsider = new ChainMember("a", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
         outsider.onTick(2_000_000);
         carryOutStores(outsider, 2_001_000);
         var ballot = outsider.memberState().promised;
-        var newer = CoreState.founded(List.of("b", "c", "d")).bytes();
+        var newer = ClusterState.founded(List.of("b", "c", "d")).bytes();
         var promise = new ChainMessage.Promised(ballot, false, SECOND, 1, newer);
         outsider.onRecord(2_002_000, "b", bytes(promise));
-        assertEquals(ChainCore.Mode.IDLE, outsider.mode());
+        assertEquals(ChainMember.Mode.IDLE, outsider.mode());
         outsider.onTick(4_900_000);
-        assertEquals(ChainCore.Mode.IDLE, outsider.mode());
+        assertEquals(ChainMember.Mode.IDLE, outsider.mode());
         outsider.onTick(6_500_000);
-        assertEquals(ChainCore.Mode.BIDDING, outsider.mode(), "the roster may never have counted");
+        assertEquals(
+                ChainMember.Mode.BIDDING, outsider.mode(), "the roster may never have counted");
     }
 
     private static byte[] bytes(ChainMessage message) {
         return message.encode().bytes();
     }
 
-    private static void carryOutStores(ChainCore member, long t) {
+    private static void carryOutStores(ChainMember member, long t) {
         for (var command : member.drain()) {
-            if (command instanceof ChainCore.Store store) {
+            if (command instanceof ChainMember.Store store) {
                 member.onStored(t, store.token());
             }
         }
--- a/core/src/test/java/martenloom/core/chain/ChainStormTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainStormTest.java
@@ -86,7 +86,7 @@
         }
         assertTrue(
                 w.nodes.values().stream()
-                        .noneMatch(n -> n.core.get().mode() == ChainCore.Mode.LEARNING),
+                        .noneMatch(n -> n.core.get().mode() == ChainMember.Mode.LEARNING),
                 "who is new has learned");
         w.nodes.values().forEach(n -> n.core.get().onLeastRoster(4));
         var gone = w.nodes.values().stream().filter(x -> !x.core.get().heading()).limit(2).toList();
@@ -96,17 +96,17 @@
                     n.upAt = Long.MAX_VALUE;
                 });
         var t0 = w.now;
-        while (w.now < t0 + ChainCore.GONE_US - 5_000_000) {
+        while (w.now < t0 + ChainMember.GONE_US - 5_000_000) {
             w.step();
         }
         assertEquals(N, w.head().committed().roster.size(), "not before its time");
-        while (w.now < t0 + 2 * ChainCore.GONE_US) {
+        while (w.now < t0 + 2 * ChainMember.GONE_US) {
             w.step();
         }
         assertEquals(
                 N, w.head().committed().roster.size(), "three in the chain are fewer than four");
         w.nodes.values().forEach(n -> n.core.ifPresent(c -> c.onLeastRoster(3)));
-        while (w.now < t0 + 4 * ChainCore.GONE_US) {
+        while (w.now < t0 + 4 * ChainMember.GONE_US) {
             w.step();
         }
         var r = w.head().committed().roster;
--- a/core/src/test/java/martenloom/core/chain/ChainWorld.java
+++ b/core/src/test/java/martenloom/core/chain/ChainWorld.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /**
  * A seeded world for chains: delays, drops, cuts, crashes in the middle of a sync, wiped disks,
@@ -32,9 +32,9 @@
 
     static final class Node {
         final String ip;
-        Optional<ChainCore.MemberState> disk = Optional.empty();
-        Optional<ChainCore> core = Optional.empty();
-        private Optional<ChainCore.Store> syncing = Optional.empty();
+        Optional<ChainMember.MemberState> disk = Optional.empty();
+        Optional<ChainMember> core = Optional.empty();
+        private Optional<ChainMember.Store> syncing = Optional.empty();
         private long syncedAt;
         long upAt;
 
@@ -55,7 +55,7 @@
 
         private boolean mayEnd(long now) {
             var c = core.orElseThrow();
-            return (leaveTaken || c.mode() == ChainCore.Mode.LEARNING) && c.released(now);
+            return (leaveTaken || c.mode() == ChainMember.Mode.LEARNING) && c.released(now);
         }
 
         /** Whether the state is left to others, so that the disk may go. */
@@ -73,7 +73,7 @@
     private final PriorityQueue<Mail> mails =
             new PriorityQueue<>(
                     Comparator.<Mail>comparingLong(m -> m.at).thenComparingInt(m -> m.n));
-    private final Map<Long, CoreState.Change> asked = new HashMap<>();
+    private final Map<Long, ClusterState.Change> asked = new HashMap<>();
     long now = 1_000_000;
     private int mailN;
     private long order;
@@ -101,10 +101,10 @@
                 s ->
                         nodes.get(s).disk =
                                 Optional.of(
-                                        new ChainCore.MemberState(
-                                                ChainCore.Ballot.ZERO,
-                                                ChainCore.Ballot.ZERO,
-                                                CoreState.founded(seeds))));
+                                        new ChainMember.MemberState(
+                                                ChainMember.Ballot.ZERO,
+                                                ChainMember.Ballot.ZERO,
+                                                ClusterState.founded(seeds))));
         nodes.values().forEach(this::boot);
     }
 
@@ -125,7 +125,7 @@
     private void boot(Node n) {
         n.core =
                 Optional.of(
-                        new ChainCore(
+                        new ChainMember(
                                 n.ip, rnd.nextLong(), n.disk, Comparator.naturalOrder(), now));
         n.core.get().onLeastRoster(3);
         n.leaveSinceUs = 0;
@@ -188,9 +188,9 @@
                     h -> {
                         var urgency =
                                 now - n.leaveSinceUs < LEAVE_WAITS_US
-                                        ? CoreState.LEAVE_SOON
-                                        : CoreState.LEAVE_NOW;
-                        var c = new CoreState.Change(CoreState.Act.LEAVE, urgency, n.ip, "");
+                                        ? ClusterState.LEAVE_SOON
+                                        : ClusterState.LEAVE_NOW;
+                        var c = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, n.ip, "");
                         asked.put(LEAVE_ORDERS + ++order, c);
                         h.core.get().onAsk(now, LEAVE_ORDERS + order, c);
                         carryOut(h);
@@ -201,15 +201,15 @@
     private void carryOut(Node n) {
         for (var l = n.core.get().drain(); !l.isEmpty(); l = n.core.get().drain()) {
             for (var c : l) {
-                if (c instanceof ChainCore.Send s && nodes.containsKey(s.to())) {
+                if (c instanceof ChainMember.Send s && nodes.containsKey(s.to())) {
                     post(n.ip, s);
-                } else if (c instanceof ChainCore.Store s) {
+                } else if (c instanceof ChainMember.Store s) {
                     n.syncing = Optional.of(s);
                     n.syncedAt =
                             now
                                     + 1000
                                     + rnd.nextInt(slow && rnd.nextInt(40) == 0 ? 3_000_000 : 5000);
-                } else if (c instanceof ChainCore.Answer a
+                } else if (c instanceof ChainMember.Answer a
                         && a.request() >= 0
                         && a.status() == 200) {
                     answered(a.request());
@@ -218,7 +218,7 @@
         }
     }
 
-    private void post(String from, ChainCore.Send s) {
+    private void post(String from, ChainMember.Send s) {
         if (rnd.nextDouble() < drop || cut.contains(from + ">" + s.to())) {
             return;
         }
@@ -233,12 +233,12 @@
 
     private void answered(long number) {
         var c = asked.get(number);
-        if (c.act == CoreState.Act.LEAVE) {
+        if (c.act == ClusterState.Act.LEAVE) {
             Optional.ofNullable(nodes.get(c.subject))
                     .filter(Node::leaving)
                     .ifPresent(n -> n.leaveTaken = true);
         }
-        if (c.act != CoreState.Act.REPLACE) {
+        if (c.act != ClusterState.Act.REPLACE) {
             return;
         }
         var before = Optional.ofNullable(acked.put(c.base + 1, c.body));
@@ -260,8 +260,8 @@
         var n = l.get(rnd.nextInt(l.size()));
         var base = n.core.get().committed().revision;
         var c =
-                new CoreState.Change(
-                        CoreState.Act.REPLACE,
+                new ClusterState.Change(
+                        ClusterState.Act.REPLACE,
                         base,
                         "",
                         "{\"Revision\":"
@@ -294,7 +294,7 @@
         List.copyOf(nodes.values()).forEach(this::step);
         if (!wiped.isEmpty()
                 && nodes.get(wiped).core.isPresent()
-                && nodes.get(wiped).core.get().mode() != ChainCore.Mode.LEARNING) {
+                && nodes.get(wiped).core.get().mode() != ChainMember.Mode.LEARNING) {
             wiped = "";
         }
     }
@@ -331,7 +331,7 @@
                                 n ->
                                         n.core.isPresent()
                                                 && !n.leaving()
-                                                && n.core.get().mode() != ChainCore.Mode.LEARNING
+                                                && n.core.get().mode() != ChainMember.Mode.LEARNING
                                                 && n.core.get().memberState().state.roster.stream()
                                                         .noneMatch(removed::contains)
                                                 && n.core.get()
@@ -393,7 +393,7 @@
                 .toList();
     }
 
-    ChainCore head() {
+    ChainMember head() {
         return heads().stream().findFirst().orElseThrow().core.orElseThrow();
     }
 
--- a/core/src/test/java/martenloom/core/chain/MembershipTest.java
+++ b/core/src/test/java/martenloom/core/chain/MembershipTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -389,22 +389,26 @@
 
     @Test
     void aLeaveIsOrderedOnceAndUndoneByComingBack() {
-        var s = CoreState.founded(List.of("a", "b", "c"));
+        var s = ClusterState.founded(List.of("a", "b", "c"));
         var left =
-                s.decide(new CoreState.Change(CoreState.Act.LEAVE, 0, "b", "")).next.orElseThrow();
+                s.decide(new ClusterState.Change(ClusterState.Act.LEAVE, 0, "b", ""))
+                        .next
+                        .orElseThrow();
         assertEquals(Set.of("b"), left.departed);
         assertEquals(List.of("a", "b", "c"), left.roster);
         assertTrue(
-                left.decide(new CoreState.Change(CoreState.Act.LEAVE, 0, "b", "")).next.isEmpty());
-        assertEquals(Set.of("b"), CoreState.of(left.bytes()).departed);
+                left.decide(new ClusterState.Change(ClusterState.Act.LEAVE, 0, "b", ""))
+                        .next
+                        .isEmpty());
+        assertEquals(Set.of("b"), ClusterState.of(left.bytes()).departed);
         assertTrue(
-                left.decide(new CoreState.Change(CoreState.Act.ROSTER, 0, "b", ""))
+                left.decide(new ClusterState.Change(ClusterState.Act.ROSTER, 0, "b", ""))
                         .next
                         .orElseThrow()
                         .departed
                         .isEmpty());
         var struck =
-                left.decide(new CoreState.Change(CoreState.Act.ROSTER_OUT, 0, "b", ""))
+                left.decide(new ClusterState.Change(ClusterState.Act.ROSTER_OUT, 0, "b", ""))
                         .next
                         .orElseThrow();
         assertEquals(List.of("a", "c"), struck.roster);
--- a/core/src/test/java/martenloom/core/chain/ProofTest.java
+++ b/core/src/test/java/martenloom/core/chain/ProofTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -25,7 +25,7 @@
 
     private record Mail(long at, String from, String to, byte[] record) {}
 
-    private final Map<String, ChainCore> all = new TreeMap<>();
+    private final Map<String, ChainMember> all = new TreeMap<>();
     private final Deque<Mail> mails = new ArrayDeque<>();
     private final Map<Long, Integer> answers = new TreeMap<>();
     private final Set<String> cut = new HashSet<>();
@@ -34,11 +34,11 @@
     private void drain(String ip) {
         for (var l = all.get(ip).drain(); !l.isEmpty(); l = all.get(ip).drain()) {
             for (var c : l) {
-                if (c instanceof ChainCore.Send s && all.containsKey(s.to())) {
+                if (c instanceof ChainMember.Send s && all.containsKey(s.to())) {
                     mails.add(new Mail(now + HOP_US, ip, s.to(), s.record()));
-                } else if (c instanceof ChainCore.Store s) {
+                } else if (c instanceof ChainMember.Store s) {
                     all.get(ip).onStored(now, s.token());
-                } else if (c instanceof ChainCore.Answer a) {
+                } else if (c instanceof ChainMember.Answer a) {
                     answers.put(a.request(), a.status());
                 }
             }
@@ -67,14 +67,14 @@
                 n ->
                         all.put(
                                 n,
-                                new ChainCore(
+                                new ChainMember(
                                         n,
                                         n.hashCode(),
                                         Optional.of(
-                                                new ChainCore.MemberState(
-                                                        ChainCore.Ballot.ZERO,
-                                                        ChainCore.Ballot.ZERO,
-                                                        CoreState.founded(names))),
+                                                new ChainMember.MemberState(
+                                                        ChainMember.Ballot.ZERO,
+                                                        ChainMember.Ballot.ZERO,
+                                                        ClusterState.founded(names))),
                                         Comparator.naturalOrder(),
                                         now)));
         for (var i = 0; i < 2000; i++) {
@@ -83,8 +83,8 @@
         return names.stream().filter(n -> all.get(n).heading()).findFirst().orElseThrow();
     }
 
-    private void ask(String head, long request, CoreState.Act a, String body) {
-        all.get(head).onAsk(now, request, new CoreState.Change(a, 0, "", body));
+    private void ask(String head, long request, ClusterState.Act a, String body) {
+        all.get(head).onAsk(now, request, new ClusterState.Change(a, 0, "", body));
         drain(head);
     }
 
@@ -93,14 +93,14 @@
         var h = head();
         var t0 = now;
         for (var i = 1; i <= 40; i++) {
-            ask(h, i, CoreState.Act.READ, "");
+            ask(h, i, ClusterState.Act.READ, "");
         }
-        ask(h, 41, CoreState.Act.REPLACE, "{\"Revision\":1,\"Routes\":[],\"Backends\":[]}");
+        ask(h, 41, ClusterState.Act.REPLACE, "{\"Revision\":1,\"Routes\":[],\"Backends\":[]}");
         for (var i = 42; i <= 80; i++) {
             ask(
                     h,
                     i,
-                    CoreState.Act.REPLACE,
+                    ClusterState.Act.REPLACE,
                     "{\"Revision\":1,\"Routes\":[],\"Backends\":[],\"Note\":" + i + "}");
         }
         while (answers.size() < 80 && now - t0 < 60_000_000) {
@@ -123,7 +123,7 @@
     void aHeadThatWasCutOffGivesNone() {
         var h = head();
         cut.add(h);
-        ask(h, 1, CoreState.Act.READ, "");
+        ask(h, 1, ClusterState.Act.READ, "");
         for (var i = 0; i < 2000; i++) {
             step();
         }
@@ -141,8 +141,8 @@
     void aHeadThatWasCutOffDoesNotRefuseWhatIsInvalid() {
         var h = head();
         cut.add(h);
-        ask(h, 1, CoreState.Act.REPLACE, "{\"Revision\":0,\"Routes\":[],\"Backends\":[]}");
-        ask(h, 2, CoreState.Act.UPDATE, "not to be read");
+        ask(h, 1, ClusterState.Act.REPLACE, "{\"Revision\":0,\"Routes\":[],\"Backends\":[]}");
+        ask(h, 2, ClusterState.Act.UPDATE, "not to be read");
         for (var i = 0; i < 2000; i++) {
             step();
         }
--- a/core/src/test/java/martenloom/core/duty/DutyServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -1,4 +1,4 @@
-package martenloom.core.duty;
+package martenloom.core.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,36 +11,36 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BiConsumer;
-import martenloom.common.codec.Codec;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.common.codec.RecordReader;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
 /** Leases at the head of a chain of one member, whose disk finishes a write when it is told to. */
-final class DutyServiceTest {
+final class RoleLeaseServiceTest {
     private static final String KEY = "scale/north";
     private static final long STEP_US = 50_000;
 
     private final List<String> granted = new ArrayList<>();
     private final Map<Long, BiConsumer<Integer, String>> asked = new HashMap<>();
-    private final Deque<ChainCore.Store> stores = new ArrayDeque<>();
-    private final ChainCore chain;
-    private final DutyService duties;
+    private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
+    private final ChainMember chain;
+    private final RoleLeaseService duties;
     private boolean stalled;
     private long nowUs = 1_000_000;
     private long requests;
 
-    DutyServiceTest() {
+    RoleLeaseServiceTest() {
         var founded =
-                new ChainCore.MemberState(
-                        ChainCore.Ballot.ZERO,
-                        ChainCore.Ballot.ZERO,
-                        CoreState.founded(List.of("a")));
-        chain = new ChainCore("a", 1, Optional.of(founded), Comparator.naturalOrder(), nowUs);
-        duties = new DutyService(chain, this::ask, () -> nowUs);
+                new ChainMember.MemberState(
+                        ChainMember.Ballot.ZERO,
+                        ChainMember.Ballot.ZERO,
+                        ClusterState.founded(List.of("a")));
+        chain = new ChainMember("a", 1, Optional.of(founded), Comparator.naturalOrder(), nowUs);
+        duties = new RoleLeaseService(chain, this::ask, () -> nowUs);
     }
 
-    private void ask(CoreState.Change change, BiConsumer<Integer, String> reply) {
+    private void ask(ClusterState.Change change, BiConsumer<Integer, String> reply) {
         asked.put(++requests, reply);
         chain.onAsk(nowUs, requests, change);
     }
@@ -63,10 +63,10 @@
         }
     }
 
-    private void carryOut(ChainCore.Command command) {
-        if (command instanceof ChainCore.Store store) {
+    private void carryOut(ChainMember.Command command) {
+        if (command instanceof ChainMember.Store store) {
             stores.add(store);
-        } else if (command instanceof ChainCore.Answer answer) {
+        } else if (command instanceof ChainMember.Answer answer) {
             Optional.ofNullable(asked.remove(answer.request()))
                     .ifPresent(r -> r.accept(answer.status(), answer.text()));
         }
@@ -77,7 +77,7 @@
     }
 
     private void onGrant(byte[] record) {
-        var in = new Codec.In(record, true);
+        var in = new RecordReader(record, true);
         var holder = in.text();
         in.text();
         granted.add(holder + " " + in.i64());
--- a/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
+++ b/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
@@ -5,7 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.load.LoadSummary;
 import org.junit.jupiter.api.Test;
 
@@ -36,7 +37,8 @@
         assertTrue(d.takeHome("h2", 5, 1, new LoadSummary().add(part(5, 2)).add(part(1, 1)), 0));
         var w =
                 LoadSummary.read(
-                        new Codec.In(d.whole(d.own(0), 0).write(new Codec.Out()).bytes(), false));
+                        new RecordReader(
+                                d.whole(d.own(0), 0).write(new RecordWriter()).bytes(), false));
         assertEquals(11, w.load("r").inHand);
         assertEquals(1100, w.load("r").unread);
         assertEquals(8, w.flights().get("north/m"));
@@ -73,9 +75,9 @@
         d.place("p1", "r1", true);
         d.place("p2", "r2", false);
         for (var w : LoadAggregator.Way.values()) {
-            var o = new Codec.Out();
+            var o = new RecordWriter();
             d.writePlaces(o, w);
-            var l = new Codec.In(o.bytes(), false).list(x -> x.text() + x.text());
+            var l = new RecordReader(o.bytes(), false).list(x -> x.text() + x.text());
             assertEquals(
                     w == LoadAggregator.Way.EDGES ? List.of("p1r1", "p2r2") : List.of("p1r1"), l);
         }
--- a/core/src/test/java/martenloom/core/registry/RegistryTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryTest.java
@@ -7,8 +7,9 @@
 
 import java.util.List;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.ReplicaRecord;
 import org.junit.jupiter.api.Test;
 
 /** Ends and leases in the registry, and what daemons pass to each other of them. */
@@ -20,8 +21,8 @@
     private final Registry here = new Registry(BEAT_US);
     private final Registry peer = new Registry(BEAT_US);
 
-    private FleetRecords.Replica beat(String id, long sequence, boolean draining) {
-        var beat = new FleetRecords.Replica();
+    private ReplicaRecord beat(String id, long sequence, boolean draining) {
+        var beat = new ReplicaRecord();
         beat.id = id;
         beat.service = "plain";
         beat.address = "10.0.0.9:80";
@@ -31,8 +32,8 @@
         return beat;
     }
 
-    private FleetRecords.Edge renewal(long life, long sequence, long heardUs) {
-        var edge = new FleetRecords.Edge();
+    private EdgeRecord renewal(long life, long sequence, long heardUs) {
+        var edge = new EdgeRecord();
         edge.ip = "10.0.2.1";
         edge.life = life;
         edge.seq = sequence;
@@ -42,14 +43,14 @@
     }
 
     private static void pass(byte[] flood, Registry to, long sentUs) {
-        var in = new Codec.In(flood, true);
+        var in = new RecordReader(flood, true);
         in.i64();
         to.takeFlood(in, sentUs);
     }
 
     /** One round of repair: a tells its digests, b sends its rows of the ranges that differ. */
     private static void repair(Registry a, Registry b, long now) {
-        b.mend(new Codec.In(a.digests(), true), now).ifPresent(rows -> pass(rows, a, now));
+        b.mend(new RecordReader(a.digests(), true), now).ifPresent(rows -> pass(rows, a, now));
     }
 
     private boolean gone(Registry registry, String id) {
@@ -82,7 +83,7 @@
         repair(cutOff, here, now);
         assertTrue(gone(cutOff, "i"));
         assertTrue(
-                here.mend(new Codec.In(cutOff.digests(), true), now).isEmpty(),
+                here.mend(new RecordReader(cutOff.digests(), true), now).isEmpty(),
                 "both say the same now");
     }
 
@@ -102,7 +103,7 @@
         var before = here.noteDigest();
         here.bury("i", now);
         assertNotEquals(before, here.noteDigest(), "the note is written anew");
-        var in = new Codec.In(here.memo(1, 1, now + 5 * SECOND_US), false);
+        var in = new RecordReader(here.memo(1, 1, now + 5 * SECOND_US), false);
         in.i32();
         in.i32();
         var next = new Registry(BEAT_US);
--- a/core/src/test/java/martenloom/core/state/JobTableTest.java
+++ b/core/src/test/java/martenloom/core/state/JobTableTest.java
@@ -7,15 +7,15 @@
 import java.util.Base64;
 import java.util.List;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
 import org.junit.jupiter.api.Test;
 
 /** The states of a job and the fence, without any program around them. */
 final class JobTableTest {
-    private CoreState s = CoreState.founded(List.of("a"));
+    private ClusterState s = ClusterState.founded(List.of("a"));
 
-    private int go(CoreState.Act a, long fence, String id, Codec.Out body, long at) {
+    private int go(ClusterState.Act a, long fence, String id, RecordWriter body, long at) {
         return go(
                 a,
                 fence,
@@ -25,10 +25,11 @@
                 at);
     }
 
-    private int go(CoreState.Act a, long fence, String id, long run, Codec.Out body, long at) {
+    private int go(
+            ClusterState.Act a, long fence, String id, long run, RecordWriter body, long at) {
         var o =
                 s.decide(
-                        new CoreState.Change(
+                        new ClusterState.Change(
                                         a,
                                         fence,
                                         id,
@@ -42,8 +43,8 @@
     private void duty(String holder) {
         s =
                 s.decide(
-                                new CoreState.Change(
-                                        CoreState.Act.DUTY,
+                                new ClusterState.Change(
+                                        ClusterState.Act.DUTY,
                                         Optional.ofNullable(s.duties.get("jobs/north"))
                                                 .map(d -> d.grant)
                                                 .orElse(0L),
@@ -61,36 +62,37 @@
         j.body = text.getBytes();
         j.digest = text;
         j.dueUs = 60_000_000;
-        var o = new Codec.Out();
+        var o = new RecordWriter();
         j.write(o);
-        return go(CoreState.Act.JOB_SUBMIT, 0, id, o, 1000);
+        return go(ClusterState.Act.JOB_SUBMIT, 0, id, o, 1000);
     }
 
     private Job.State state(String id) {
         return s.jobTable.jobs.get(id).state;
     }
 
-    private static Codec.Out kept(String last, int from, String more) {
-        return new Codec.Out().text(last).i32(from).blob(more.getBytes());
+    private static RecordWriter kept(String last, int from, String more) {
+        return new RecordWriter().text(last).i32(from).blob(more.getBytes());
     }
 
-    private static Codec.Out done(int from, String more) {
-        return new Codec.Out().i32(200).i32(from).blob(more.getBytes());
+    private static RecordWriter done(int from, String more) {
+        return new RecordWriter().i32(200).i32(from).blob(more.getBytes());
     }
 
     @Test
     void aFormerHolderCanNeitherStartNorFinish() {
         duty("x");
         submit("j", true, "t");
-        assertEquals(200, go(CoreState.Act.JOB_START, 1, "j", new Codec.Out(), 2000));
+        assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000));
         duty("y");
-        assertEquals(409, go(CoreState.Act.JOB_DONE, 1, "j", done(0, "old"), 3000));
-        assertEquals(409, go(CoreState.Act.JOB_START, 1, "j", new Codec.Out(), 3000));
-        assertEquals(200, go(CoreState.Act.JOB_START, 2, "j", new Codec.Out(), 3000));
-        assertEquals(200, go(CoreState.Act.JOB_DONE, 2, "j", done(0, "new"), 4000));
-        assertEquals(409, go(CoreState.Act.JOB_DONE, 2, "j", done(0, "twice"), 4000));
+        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "old"), 3000));
+        assertEquals(409, go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 3000));
+        assertEquals(200, go(ClusterState.Act.JOB_START, 2, "j", new RecordWriter(), 3000));
+        assertEquals(200, go(ClusterState.Act.JOB_DONE, 2, "j", done(0, "new"), 4000));
+        assertEquals(409, go(ClusterState.Act.JOB_DONE, 2, "j", done(0, "twice"), 4000));
         assertEquals(
-                "new", s.decide(new CoreState.Change(CoreState.Act.JOB_RESULT, 0, "j", "")).text);
+                "new",
+                s.decide(new ClusterState.Change(ClusterState.Act.JOB_RESULT, 0, "j", "")).text);
     }
 
     @Test
@@ -98,12 +100,12 @@
         duty("x");
         submit("j", false, "t");
         submit("k", false, "t");
-        go(CoreState.Act.JOB_START, 1, "j", new Codec.Out(), 2000);
-        go(CoreState.Act.JOB_START, 1, "k", new Codec.Out(), 2000);
-        go(CoreState.Act.JOB_BACK, 1, "k", new Codec.Out().u8(0).text("no room"), 2500);
+        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
+        go(ClusterState.Act.JOB_START, 1, "k", new RecordWriter(), 2000);
+        go(ClusterState.Act.JOB_BACK, 1, "k", new RecordWriter().u8(0).text("no room"), 2500);
         assertEquals(Job.State.WAITING, state("k"), "what did not run may wait again");
         duty("y");
-        go(CoreState.Act.JOB_START, 2, "j", new Codec.Out(), 3000);
+        go(ClusterState.Act.JOB_START, 2, "j", new RecordWriter(), 3000);
         assertEquals(Job.State.UNCERTAIN, state("j"));
     }
 
@@ -111,15 +113,15 @@
     void keptPiecesAreTakenOnceHoweverOftenTheyAreSent() {
         duty("x");
         submit("j", true, "t");
-        go(CoreState.Act.JOB_START, 1, "j", new Codec.Out(), 2000);
-        assertEquals(200, go(CoreState.Act.JOB_KEEP, 1, "j", kept("3", 0, "abc"), 2100));
-        assertEquals(200, go(CoreState.Act.JOB_KEEP, 1, "j", kept("3", 0, "abc"), 2200));
-        assertEquals(409, go(CoreState.Act.JOB_KEEP, 1, "j", kept("9", 1, "zz"), 2200));
-        assertEquals(409, go(CoreState.Act.JOB_DONE, 1, "j", done(0, "def"), 2300));
-        assertEquals(200, go(CoreState.Act.JOB_DONE, 1, "j", done(3, "def"), 2300));
+        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
+        assertEquals(200, go(ClusterState.Act.JOB_KEEP, 1, "j", kept("3", 0, "abc"), 2100));
+        assertEquals(200, go(ClusterState.Act.JOB_KEEP, 1, "j", kept("3", 0, "abc"), 2200));
+        assertEquals(409, go(ClusterState.Act.JOB_KEEP, 1, "j", kept("9", 1, "zz"), 2200));
+        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "def"), 2300));
+        assertEquals(200, go(ClusterState.Act.JOB_DONE, 1, "j", done(3, "def"), 2300));
         assertEquals(
                 "abcdef",
-                s.decide(new CoreState.Change(CoreState.Act.JOB_RESULT, 0, "j", "")).text);
+                s.decide(new ClusterState.Change(ClusterState.Act.JOB_RESULT, 0, "j", "")).text);
     }
 
     @Test
@@ -127,13 +129,13 @@
         duty("x");
         submit("j", true, "t");
         submit("k", true, "t");
-        go(CoreState.Act.JOB_START, 1, "j", new Codec.Out(), 2000);
-        go(CoreState.Act.JOB_START, 1, "k", new Codec.Out(), 2000);
-        assertEquals(200, go(CoreState.Act.JOB_CANCEL, 0, "j", new Codec.Out(), 2100));
-        assertEquals(409, go(CoreState.Act.JOB_DONE, 1, "j", done(0, "x"), 2200));
+        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
+        go(ClusterState.Act.JOB_START, 1, "k", new RecordWriter(), 2000);
+        assertEquals(200, go(ClusterState.Act.JOB_CANCEL, 0, "j", new RecordWriter(), 2100));
+        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "x"), 2200));
         assertEquals(Job.State.CANCELLED, state("j"));
-        go(CoreState.Act.JOB_DONE, 1, "k", done(0, "x"), 2200);
-        assertEquals(409, go(CoreState.Act.JOB_CANCEL, 0, "k", new Codec.Out(), 2300));
+        go(ClusterState.Act.JOB_DONE, 1, "k", done(0, "x"), 2200);
+        assertEquals(409, go(ClusterState.Act.JOB_CANCEL, 0, "k", new RecordWriter(), 2300));
         assertEquals(Job.State.DONE, state("k"));
     }
 
@@ -141,22 +143,22 @@
     void aLateCopyOfARunnersWordNeverActsOnALaterRun() {
         duty("x");
         submit("j", false, "t");
-        assertEquals(200, go(CoreState.Act.JOB_START, 1, "j", 0, new Codec.Out(), 2000));
-        var back = new Codec.Out().u8(0).text("no room");
-        assertEquals(200, go(CoreState.Act.JOB_BACK, 1, "j", 1, back, 2100));
+        assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", 0, new RecordWriter(), 2000));
+        var back = new RecordWriter().u8(0).text("no room");
+        assertEquals(200, go(ClusterState.Act.JOB_BACK, 1, "j", 1, back, 2100));
         assertEquals(
                 409,
-                go(CoreState.Act.JOB_START, 1, "j", 0, new Codec.Out(), 2200),
+                go(ClusterState.Act.JOB_START, 1, "j", 0, new RecordWriter(), 2200),
                 "a copy of the first start");
         assertEquals(Job.State.WAITING, state("j"));
-        assertEquals(200, go(CoreState.Act.JOB_START, 1, "j", 1, new Codec.Out(), 2300));
+        assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", 1, new RecordWriter(), 2300));
         assertEquals(
                 409,
-                go(CoreState.Act.JOB_BACK, 1, "j", 1, back, 2400),
+                go(ClusterState.Act.JOB_BACK, 1, "j", 1, back, 2400),
                 "a copy that gave the first run back");
-        assertEquals(409, go(CoreState.Act.JOB_DONE, 1, "j", 1, done(0, "first"), 2400));
+        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", 1, done(0, "first"), 2400));
         assertEquals(Job.State.RUNNING, state("j"), "what may not be repeated runs once at a time");
-        assertEquals(200, go(CoreState.Act.JOB_DONE, 1, "j", 2, done(0, "second"), 2500));
+        assertEquals(200, go(ClusterState.Act.JOB_DONE, 1, "j", 2, done(0, "second"), 2500));
     }
 
     @Test
@@ -166,7 +168,7 @@
         }
         assertEquals(429, submit("more", true, "t"));
         assertEquals(200, submit("n5", true, "t"), "a known one is still known");
-        s = CoreState.founded(List.of("a"));
+        s = ClusterState.founded(List.of("a"));
         assertEquals(413, submit("big", true, "x".repeat(JobTable.MOST_BODY + 1)));
         var k = 0;
         while (submit("b" + k, true, "x".repeat(JobTable.MOST_BODY - 10)) == 200) {
@@ -178,13 +180,18 @@
     @Test
     void theClockEndsWhatIsPastDueAndForgetsOldEnds() {
         submit("j", true, "t");
-        go(CoreState.Act.JOB_CLOCK, 0, "", new Codec.Out(), 59_000_000);
+        go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 59_000_000);
         assertEquals(Job.State.WAITING, state("j"));
-        go(CoreState.Act.JOB_CLOCK, 0, "", new Codec.Out(), 70_000_000);
+        go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 70_000_000);
         assertEquals(Job.State.EXPIRED, state("j"));
-        go(CoreState.Act.JOB_CLOCK, 0, "", new Codec.Out(), 5_000);
+        go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 5_000);
         assertEquals(70_000_000, s.jobTable.clockUs, "the clock does not go back");
-        go(CoreState.Act.JOB_CLOCK, 0, "", new Codec.Out(), 80_000_000 + JobTable.RESULT_AGE_US);
+        go(
+                ClusterState.Act.JOB_CLOCK,
+                0,
+                "",
+                new RecordWriter(),
+                80_000_000 + JobTable.RESULT_AGE_US);
         assertTrue(s.jobTable.jobs.isEmpty());
     }
 
@@ -202,7 +209,7 @@
     void theStateReadsBackWithItsJobs() {
         duty("x");
         submit("j", true, "t");
-        go(CoreState.Act.JOB_START, 1, "j", new Codec.Out(), 2000);
-        assertArrayEquals(s.bytes(), CoreState.of(s.bytes()).bytes());
+        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
+        assertArrayEquals(s.bytes(), ClusterState.of(s.bytes()).bytes());
     }
 }
--- a/core/src/test/java/martenloom/core/state/OrderVersionTest.java
+++ b/core/src/test/java/martenloom/core/state/OrderVersionTest.java
@@ -26,7 +26,7 @@
             """;
 
     private final Placement running = new Placement();
-    private CoreState state = CoreState.founded(List.of("10.0.0.1"));
+    private ClusterState state = ClusterState.founded(List.of("10.0.0.1"));
 
     @BeforeEach
     void twoRegionsRunTheModel() {
@@ -35,27 +35,27 @@
         running.put("s", "west", "w1");
     }
 
-    private int decide(CoreState.Change change) {
+    private int decide(ClusterState.Change change) {
         var outcome = state.decide(change.surveyed(running.text()));
         state = outcome.next.orElse(state);
         return outcome.status;
     }
 
-    private CoreState.Change accepted(CoreState.Act act, String subject, String body) {
-        return state.accepted(new CoreState.Change(act, 0, subject, body));
+    private ClusterState.Change accepted(ClusterState.Act act, String subject, String body) {
+        return state.accepted(new ClusterState.Change(act, 0, subject, body));
     }
 
-    private CoreState.Change start() {
-        return accepted(CoreState.Act.EVAC_START, ZONE, "");
+    private ClusterState.Change start() {
+        return accepted(ClusterState.Act.EVAC_START, ZONE, "");
     }
 
-    private CoreState.Change finish() {
-        return accepted(CoreState.Act.EVAC_FINISH, ZONE, "");
+    private ClusterState.Change finish() {
+        return accepted(ClusterState.Act.EVAC_FINISH, ZONE, "");
     }
 
-    private static CoreState.Change configuration(long base, long revision, String note) {
-        return new CoreState.Change(
-                CoreState.Act.REPLACE,
+    private static ClusterState.Change configuration(long base, long revision, String note) {
+        return new ClusterState.Change(
+                ClusterState.Act.REPLACE,
                 base,
                 "",
                 "{\"Revision\":"
@@ -73,10 +73,10 @@
         assertEquals(200, decide(start()));
         assertEquals(200, decide(copy), "a copy that finds the zone evacuated is acknowledged");
         assertEquals(200, decide(finish()));
-        assertEquals(CoreState.STALE_ORDER, decide(copy));
+        assertEquals(ClusterState.STALE_ORDER, decide(copy));
         assertEquals(Set.of(), state.evacuated);
-        state = CoreState.of(state.bytes());
-        assertEquals(CoreState.STALE_ORDER, decide(copy), "nor after a restart");
+        state = ClusterState.of(state.bytes());
+        assertEquals(ClusterState.STALE_ORDER, decide(copy), "nor after a restart");
         assertEquals(
                 200,
                 decide(start()),
@@ -87,7 +87,7 @@
     void aStartThatWasNeverAppliedDoesNotActAfterAFinishThatFoundNothingToDo() {
         var lost = start();
         assertEquals(200, decide(finish()));
-        assertEquals(CoreState.STALE_ORDER, decide(lost));
+        assertEquals(ClusterState.STALE_ORDER, decide(lost));
         assertEquals(Set.of(), state.evacuated);
     }
 
@@ -98,19 +98,19 @@
         assertEquals(200, decide(finish()));
         var pending = start();
         var laggingFinish =
-                behind.accepted(new CoreState.Change(CoreState.Act.EVAC_FINISH, 0, ZONE, ""));
+                behind.accepted(new ClusterState.Change(ClusterState.Act.EVAC_FINISH, 0, ZONE, ""));
         assertEquals(200, decide(laggingFinish));
-        assertEquals(CoreState.STALE_ORDER, decide(pending));
+        assertEquals(ClusterState.STALE_ORDER, decide(pending));
     }
 
     @Test
     void zonesCountApartAndAnOrderThatNobodyAcceptedDoesNothing() {
-        var other = accepted(CoreState.Act.EVAC_START, "south-b", "");
+        var other = accepted(ClusterState.Act.EVAC_START, "south-b", "");
         assertEquals(200, decide(start()));
         assertEquals(200, decide(other));
         assertEquals(
-                CoreState.STALE_ORDER,
-                decide(new CoreState.Change(CoreState.Act.EVAC_FINISH, 0, ZONE, "")));
+                ClusterState.STALE_ORDER,
+                decide(new ClusterState.Change(ClusterState.Act.EVAC_FINISH, 0, ZONE, "")));
         assertEquals(Set.of(ZONE, "south-b"), state.evacuated);
     }
 
@@ -118,34 +118,39 @@
     void anOrderTravelsWithTheVersionItWasAcceptedOn() {
         decide(start());
         decide(finish());
-        var out = new martenloom.common.codec.Codec.Out();
+        var out = new martenloom.common.codec.RecordWriter();
         start().write(out);
-        var read = CoreState.Change.read(new martenloom.common.codec.Codec.In(out.bytes(), false));
+        var read =
+                ClusterState.Change.read(
+                        new martenloom.common.codec.RecordReader(out.bytes(), false));
         assertEquals(2, read.version);
         assertEquals(200, decide(read));
     }
 
     @Test
     void aLateCopyOfAnUnloadDoesNotActAfterItsLoad() {
-        decide(new CoreState.Change(CoreState.Act.REPLACE, 0, "", CONFIGURATION));
-        var copy = accepted(CoreState.Act.PLACE, PLACE, "unload");
-        assertEquals(200, decide(accepted(CoreState.Act.PLACE, PLACE, "unload")));
+        decide(new ClusterState.Change(ClusterState.Act.REPLACE, 0, "", CONFIGURATION));
+        var copy = accepted(ClusterState.Act.PLACE, PLACE, "unload");
+        assertEquals(200, decide(accepted(ClusterState.Act.PLACE, PLACE, "unload")));
         assertEquals(200, decide(copy), "already so");
-        assertEquals(200, decide(accepted(CoreState.Act.PLACE, PLACE, "load")));
-        assertEquals(CoreState.STALE_ORDER, decide(copy));
+        assertEquals(200, decide(accepted(ClusterState.Act.PLACE, PLACE, "load")));
+        assertEquals(ClusterState.STALE_ORDER, decide(copy));
         assertFalse(state.scales.containsKey(PLACE));
     }
 
     @Test
     void aLoadOfWhatIsNotUnloadedLeavesTheScalersOrderAlone() {
-        decide(new CoreState.Change(CoreState.Act.REPLACE, 0, "", CONFIGURATION));
+        decide(new ClusterState.Change(ClusterState.Act.REPLACE, 0, "", CONFIGURATION));
         running.put("s", "north", "n2");
         assertEquals(
-                200, decide(new CoreState.Change(CoreState.Act.DUTY, 0, "scale/north", "edge#1")));
+                200,
+                decide(new ClusterState.Change(ClusterState.Act.DUTY, 0, "scale/north", "edge#1")));
         assertEquals(
                 200,
-                decide(new CoreState.Change(CoreState.Act.SCALE, 1, PLACE, "1\nn2").versioned(1)));
-        assertEquals(200, decide(accepted(CoreState.Act.PLACE, PLACE, "load")));
+                decide(
+                        new ClusterState.Change(ClusterState.Act.SCALE, 1, PLACE, "1\nn2")
+                                .versioned(1)));
+        assertEquals(200, decide(accepted(ClusterState.Act.PLACE, PLACE, "load")));
         assertEquals(Set.of("n2"), state.scales.get(PLACE).resting());
     }
 
@@ -159,7 +164,7 @@
             assertEquals(200, decide(configuration(base, base + 1, "later")));
             assertEquals(200, decide(first), "after " + base + " more");
         }
-        state = CoreState.of(state.bytes());
+        state = ClusterState.of(state.bytes());
         assertEquals(200, decide(first), "also after a restart");
         assertEquals(AppliedChanges.CAPACITY, state.revision);
         assertEquals(
@@ -188,16 +193,16 @@
         assertEquals(200, decide(configuration(0, 3, "a")));
         assertEquals(412, decide(configuration(2, 3, "a")), "it never was sent on this base");
         var body = "{\"Revision\":4,\"Upsert\":{}}";
-        assertEquals(200, decide(new CoreState.Change(CoreState.Act.UPDATE, 3, "", body)));
-        assertEquals(200, decide(new CoreState.Change(CoreState.Act.UPDATE, 3, "", body)));
+        assertEquals(200, decide(new ClusterState.Change(ClusterState.Act.UPDATE, 3, "", body)));
+        assertEquals(200, decide(new ClusterState.Change(ClusterState.Act.UPDATE, 3, "", body)));
         assertEquals(
                 412,
-                decide(new CoreState.Change(CoreState.Act.REPLACE, 3, "", body)),
+                decide(new ClusterState.Change(ClusterState.Act.REPLACE, 3, "", body)),
                 "the same words as another act");
         assertEquals(200, decide(configuration(4, 5, "b")));
         assertEquals(
                 200,
-                decide(new CoreState.Change(CoreState.Act.UPDATE, 3, "", body)),
+                decide(new ClusterState.Change(ClusterState.Act.UPDATE, 3, "", body)),
                 "and again after another change");
         assertEquals(5, state.revision);
     }
@@ -206,17 +211,19 @@
 
     @Test
     void aGrantAskedForAgainIsTheSameAndALateCopyTakesNothingBack() {
-        var first = new CoreState.Change(CoreState.Act.DUTY, 0, "jobs/north", "x#1");
+        var first = new ClusterState.Change(ClusterState.Act.DUTY, 0, "jobs/north", "x#1");
         assertEquals("1", state.decide(first).text);
         decide(first);
         var again = state.decide(first);
         assertEquals("200 1", again.status + " " + again.text);
         assertTrue(again.next.isEmpty(), "nothing is written");
-        assertEquals(200, decide(new CoreState.Change(CoreState.Act.DUTY, 1, "jobs/north", "y#1")));
+        assertEquals(
+                200,
+                decide(new ClusterState.Change(ClusterState.Act.DUTY, 1, "jobs/north", "y#1")));
         assertEquals(409, decide(first), "the successor keeps the duty");
         assertEquals(
                 409,
-                decide(new CoreState.Change(CoreState.Act.DUTY, 1, "jobs/north", "z#1")),
+                decide(new ClusterState.Change(ClusterState.Act.DUTY, 1, "jobs/north", "z#1")),
                 "one grant, one holder");
         assertEquals(2, state.duties.get("jobs/north").grant);
         assertTrue(state.overtaken("jobs/north", 1), "word under the first grant is dropped");
@@ -224,7 +231,7 @@
         assertEquals("y#1", state.duties.get("jobs/north").holder);
         assertEquals(
                 200,
-                decide(new CoreState.Change(CoreState.Act.DUTY, 2, "jobs/north", "x#1")),
+                decide(new ClusterState.Change(ClusterState.Act.DUTY, 2, "jobs/north", "x#1")),
                 "a former holder may be granted it anew");
         assertEquals(3, state.duties.get("jobs/north").grant);
     }
--- a/core/src/test/java/martenloom/core/state/ScaleOrderTest.java
+++ b/core/src/test/java/martenloom/core/state/ScaleOrderTest.java
@@ -20,15 +20,15 @@
             "{\"Revision\":1,\"Routes\":[{\"Name\":\"r\",\"Hostname\":\"h.example\",\"PathPrefix\":\"/r/\",\"RouteType\":\"streaming\",\"TimeoutMs\":8000,\"TargetLatencyMs\":800,"
                 + "\"Priority\":0,\"Backend\":\"s\",\"MaxAttempts\":2,\"SessionAffinity\":true,\"Resumable\":true,\"TargetGapMs\":800,\"AllowedRegions\":[]}],"
                 + "\"Backends\":[{\"Name\":\"s\",\"HealthPath\":\"/h\",\"MaxConnections\":60,\"WarmupS\":1.0,\"WarmupPerS\":8.0,\"InferenceEngine\":{\"Capacity\":8,\"CacheTokens\":100000,\"Models\":[{\"Name\":\"m\"}]}}]}";
-    private CoreState s = CoreState.founded(List.of("a"));
+    private ClusterState s = ClusterState.founded(List.of("a"));
     private final Placement runs = new Placement();
     private long orders;
 
-    private CoreState.Outcome go(CoreState.Act a, long base, String subject, String body) {
-        return go(s.accepted(new CoreState.Change(a, base, subject, body).versioned(++orders)));
+    private ClusterState.Outcome go(ClusterState.Act a, long base, String subject, String body) {
+        return go(s.accepted(new ClusterState.Change(a, base, subject, body).versioned(++orders)));
     }
 
-    private CoreState.Outcome go(CoreState.Change c) {
+    private ClusterState.Outcome go(ClusterState.Change c) {
         var o = s.decide(c.surveyed(c.act.ofPlacement() ? runs.text() : ""));
         s = o.next.orElse(s);
         return o;
@@ -37,7 +37,7 @@
     private long grant(String region, String holder) {
         return Long.parseLong(
                 go(
-                                CoreState.Act.DUTY,
+                                ClusterState.Act.DUTY,
                                 Optional.ofNullable(s.duties.get("scale/" + region))
                                         .map(d -> d.grant)
                                         .orElse(0L),
@@ -48,7 +48,7 @@
 
     @BeforeEach
     void open() {
-        assertEquals(200, go(CoreState.Act.REPLACE, 0, "", CONFIGURATION).status);
+        assertEquals(200, go(ClusterState.Act.REPLACE, 0, "", CONFIGURATION).status);
         runs.put("s", "north", "n1");
         runs.put("s", "north", "n2");
         runs.put("s", "south", "s1");
@@ -57,18 +57,18 @@
     @Test
     void ofTwoClaimantsTheOlderIsFenced() {
         var old = grant("north", "edge1#1");
-        assertEquals(200, go(CoreState.Act.SCALE, old, "north/m", "1\nn2").status);
+        assertEquals(200, go(ClusterState.Act.SCALE, old, "north/m", "1\nn2").status);
         var young = grant("north", "edge2#1");
         assertTrue(young > old);
-        var late = go(CoreState.Act.SCALE, old, "north/m", "0\nn1\nn2");
+        var late = go(ClusterState.Act.SCALE, old, "north/m", "0\nn1\nn2");
         assertEquals(409, late.status);
         assertTrue(late.text.startsWith("fence: grant " + old), late.text);
         assertEquals(Set.of("n2"), s.scales.get("north/m").resting(), "nothing is kept of it");
         assertEquals(
                 409,
-                go(CoreState.Act.SCALE, young, "south/m", "1").status,
+                go(ClusterState.Act.SCALE, young, "south/m", "1").status,
                 "a duty of another region gives no right here");
-        assertEquals(200, go(CoreState.Act.SCALE, young, "north/m", "all").status);
+        assertEquals(200, go(ClusterState.Act.SCALE, young, "north/m", "all").status);
         assertFalse(s.scales.containsKey("north/m"));
     }
 
@@ -80,14 +80,16 @@
         assertEquals(
                 200,
                 s.decide(
-                                new CoreState.Change(CoreState.Act.SCALE, q, "south/m", "0\ns1")
+                                new ClusterState.Change(
+                                                ClusterState.Act.SCALE, q, "south/m", "0\ns1")
                                         .versioned(1)
                                         .surveyed(runs.text()))
                         .status,
                 "safe alone");
-        assertEquals(200, go(CoreState.Act.SCALE, n, "north/m", "0\nn1\nn2").status, "safe alone");
+        assertEquals(
+                200, go(ClusterState.Act.SCALE, n, "north/m", "0\nn1\nn2").status, "safe alone");
         var e = s.edition;
-        var o = go(CoreState.Act.SCALE, q, "south/m", "0\ns1");
+        var o = go(ClusterState.Act.SCALE, q, "south/m", "0\ns1");
         assertEquals(409, o.status);
         assertTrue(o.text.contains("model 'm'") && o.text.contains("region 'west'"), o.text);
         assertEquals(e, s.edition);
@@ -97,23 +99,25 @@
     void theOperatorsWordStandsAboveTheScaler() {
         var n = grant("north", "edge1#1");
         runs.put("s", "west", "w1");
-        assertEquals(200, go(CoreState.Act.PLACE, 0, "north/m", "unload").status);
-        var o = go(CoreState.Act.SCALE, n, "north/m", "2");
+        assertEquals(200, go(ClusterState.Act.PLACE, 0, "north/m", "unload").status);
+        var o = go(ClusterState.Act.SCALE, n, "north/m", "2");
         assertEquals(409, o.status);
         assertTrue(o.text.startsWith("pinned"), o.text);
         assertEquals(
                 200,
-                go(CoreState.Act.PLACE, 0, "north/m", "unload").status,
+                go(ClusterState.Act.PLACE, 0, "north/m", "unload").status,
                 "the same again is acknowledged again");
-        assertEquals(200, go(CoreState.Act.PLACE, 0, "north/m", "load").status);
-        assertEquals(200, go(CoreState.Act.SCALE, n, "north/m", "1\nn1").status);
+        assertEquals(200, go(ClusterState.Act.PLACE, 0, "north/m", "load").status);
+        assertEquals(200, go(ClusterState.Act.SCALE, n, "north/m", "1\nn1").status);
     }
 
     @Test
     void aScalersOrderThatWasOvertakenByItsNextNeverActs() {
         var n = grant("north", "edge1#1");
-        var first = new CoreState.Change(CoreState.Act.SCALE, n, "north/m", "1\nn2").versioned(1);
-        var second = new CoreState.Change(CoreState.Act.SCALE, n, "north/m", "all").versioned(2);
+        var first =
+                new ClusterState.Change(ClusterState.Act.SCALE, n, "north/m", "1\nn2").versioned(1);
+        var second =
+                new ClusterState.Change(ClusterState.Act.SCALE, n, "north/m", "all").versioned(2);
         assertEquals(200, go(second).status);
         assertEquals(409, go(first).status, "it sat in a link for a while");
         assertFalse(s.scales.containsKey("north/m"));
@@ -121,7 +125,8 @@
         var heir = grant("north", "edge2#1");
         assertEquals(
                 200,
-                go(new CoreState.Change(CoreState.Act.SCALE, heir, "north/m", "1\nn2").versioned(1))
+                go(new ClusterState.Change(ClusterState.Act.SCALE, heir, "north/m", "1\nn2")
+                                .versioned(1))
                         .status,
                 "a successor counts anew");
     }
@@ -129,11 +134,11 @@
     @Test
     void ordersOutliveTheDiskAndMalformedOnesKeepNothing() {
         var n = grant("north", "edge1#1");
-        go(CoreState.Act.SCALE, n, "north/m", "1\nn2");
-        var back = CoreState.of(s.bytes());
+        go(ClusterState.Act.SCALE, n, "north/m", "1\nn2");
+        var back = ClusterState.of(s.bytes());
         assertEquals(s.scales, back.scales);
         for (var bad : List.of("", "some", "-1", "1234567", "all\nn1")) {
-            assertEquals(400, go(CoreState.Act.SCALE, n, "north/m", bad).status, bad);
+            assertEquals(400, go(ClusterState.Act.SCALE, n, "north/m", bad).status, bad);
         }
         assertEquals(back.scales, s.scales);
     }
--- a/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
+++ b/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
@@ -16,7 +16,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import martenloom.common.error.Fault;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.error.StorageException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -69,7 +70,7 @@
         @Override
         public void writeSynced(String n, byte[] b) {
             if (refusedWrites-- > 0) {
-                throw Fault.here(Fault.Code.DISK, "write", "refused");
+                throw new StorageException("write", "refused");
             }
             var used =
                     now.entrySet().stream()
@@ -78,7 +79,7 @@
                             .sum();
             if (used + b.length > freeBytes) {
                 apply(names -> names.put(n, Arrays.copyOf(b, Math.max(0, freeBytes - used))));
-                throw Fault.here(Fault.Code.DISK, "write", "no space left");
+                throw new StorageException("write", "no space left");
             }
             if (steps + 1 >= killAtStep) {
                 apply(names -> names.put(n, Arrays.copyOf(b, b.length / 2)));
@@ -234,7 +235,9 @@
         var s = new VersionedStore(f);
         s.keep(b("one"));
         f.freeBytes = 30;
-        assertThrows(Fault.class, () -> s.keep(b("a longer version than there is space for")));
+        assertThrows(
+                MartenloomException.class,
+                () -> s.keep(b("a longer version than there is space for")));
         var again = new VersionedStore(f);
         assertArrayEquals(b("one"), again.load().get());
         f.freeBytes = 200;
--- a/edge/src/main/java/martenloom/edge/CoreClient.java
+++ b/edge/src/main/java/martenloom/edge/CoreClient.java
@@ -4,8 +4,9 @@
 import java.security.SecureRandom;
 import java.util.function.BiConsumer;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.log.RingLog;
@@ -29,7 +30,7 @@
         this.home = home;
     }
 
-    /** The version tells the request from a late copy, see CoreState.Change. */
+    /** The version tells the request from a late copy, see ClusterState.Change. */
     @Override
     public void ask(
             String act,
@@ -44,14 +45,14 @@
             return;
         }
         var id = pending.open(link.get(), reply);
-        var out = new Codec.Out(FleetRecords.EDGE_ASK);
+        var out = new RecordWriter(RecordType.EDGE_REQUEST);
         id.write(out);
         link.get().send(out.text(act).text(subject).i64(fence).i64(version).text(body).bytes());
         Clocks.after(loop, REPLY_LIMIT_US, () -> pending.expire(id, "no reply"));
     }
 
     /** Passes an answer of the core on to the caller that waits for it. */
-    void onAnswer(PeerLinks.Link link, Codec.In in) {
+    void onAnswer(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         if (!pending.answered(id, link, in.i32(), in.text())) {
             RingLog.note("link " + link.peer + ": an answer to no request of ours is dropped");
--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -22,8 +22,11 @@
 import java.util.stream.Stream;
 import martenloom.autoscaler.ScaleSettings;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.RecordType;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
@@ -55,14 +58,14 @@
     /** The records that count only from the home of the moment, on the link to it. */
     private static final Set<Integer> OF_THE_HOME =
             Set.of(
-                    FleetRecords.NEWS,
-                    FleetRecords.CONFIGURATION,
-                    FleetRecords.REPLICAS,
-                    FleetRecords.DUTY_GRANT,
-                    FleetRecords.JOBS,
-                    FleetRecords.ANSWER,
-                    FleetRecords.WHOLE_SUM,
-                    FleetRecords.REPORT);
+                    RecordType.EDGE_LEASE_RESPONSE,
+                    RecordType.CONFIGURATION,
+                    RecordType.REPLICA_UPDATE,
+                    RecordType.LEASE_GRANT,
+                    RecordType.JOB_LIST,
+                    RecordType.ORDER_RESPONSE,
+                    RecordType.TOTAL_LOAD,
+                    RecordType.OVERLOAD_REPORT);
 
     private final Settings settings;
     private final Eventloop loop;
@@ -80,7 +83,7 @@
     private final ScaleRunner scaler;
     private int edgesNow;
     private final OverloadReporting reporting;
-    private final EdgeDuties duties;
+    private final RoleLeaseClient duties;
     private Optional<SimpleServer> frontend = Optional.empty();
     private long renewals;
     private long edition = -1;
@@ -101,7 +104,7 @@
         this.loop = loop;
         replicaTable = new ReplicaTable(settings);
         dispatcher = new RequestDispatcher(loop, settings, replicaTable);
-        duties = new EdgeDuties(settings, dispatcher, life);
+        duties = new RoleLeaseClient(settings, dispatcher, life);
         home = new HomeConnection(settings, loop, this, this::renewal);
         core = new CoreClient(loop, home);
         reporting = new OverloadReporting(settings, dispatcher, this::tell);
@@ -194,7 +197,7 @@
 
     private byte[] renewal() {
         var now = Clocks.nowUs();
-        var edge = new FleetRecords.Edge();
+        var edge = new EdgeRecord();
         edge.ip = settings.ip;
         edge.name = settings.name;
         edge.zone = settings.zone;
@@ -206,7 +209,7 @@
         edge.seq = ++renewals;
         edge.revision = revision;
         edge.heardUs = now;
-        var out = new Codec.Out(FleetRecords.RENEW);
+        var out = new RecordWriter(RecordType.EDGE_LEASE_RENEWAL);
         edge.write(out, now);
         return out.i64(now)
                 .text(duties.holder())
@@ -243,7 +246,7 @@
                 reply);
     }
 
-    private void onJobs(Codec.In in) {
+    private void onJobs(RecordReader in) {
         jobs.onLines(
                 in.list(
                         line ->
@@ -262,7 +265,7 @@
         return ready && !leaving ? duties.wanted(jobsLive || jobs.busy()) : List.of();
     }
 
-    private void onNews(PeerLinks.Link link, Codec.In in) {
+    private void onNews(PeerLinks.Link link, RecordReader in) {
         var now = Clocks.nowUs();
         var sentUs = in.i64();
         var upUs = in.i64();
@@ -318,7 +321,7 @@
         }
     }
 
-    private void onConfiguration(Codec.In in) {
+    private void onConfiguration(RecordReader in) {
         var newEdition = in.i64();
         var newRevision = in.i64();
         var routingText = in.text();
@@ -354,10 +357,10 @@
         dispatcher.onEvacuated(Set.copyOf(evacuated), Clocks.nowUs());
     }
 
-    private void onReplicas(Codec.In in) {
+    private void onReplicas(RecordReader in) {
         var now = Clocks.nowUs();
         var whole = in.flag();
-        var replicas = in.list(item -> FleetRecords.Replica.read(item, now));
+        var replicas = in.list(item -> ReplicaRecord.read(item, now));
         replicas.forEach(dispatcher::onReplica);
         if (whole) {
             home.onSynced();
@@ -389,7 +392,7 @@
 
     // ---- overload reports
 
-    private void onGrant(Codec.In in) {
+    private void onGrant(RecordReader in) {
         if (!in.text().equals(duties.holder())) {
             return;
         }
@@ -408,7 +411,7 @@
 
     /** The home passes a report on to the edges elsewhere, by their homes. */
     private void tell(Overload.Report report) {
-        var out = new Codec.Out(FleetRecords.REPORT);
+        var out = new RecordWriter(RecordType.OVERLOAD_REPORT);
         report.write(out);
         RingLog.note("report " + report);
         home.send(out.bytes());
@@ -424,36 +427,42 @@
 
     @Override
     public void onRecord(PeerLinks.Link link, byte[] record) {
-        var in = new Codec.In(record, true);
+        var in = new RecordReader(record, true);
         if (home.isCandidate(link)) {
-            if (in.type == FleetRecords.NEWS) {
+            if (in.type() == RecordType.EDGE_LEASE_RESPONSE) {
                 onNews(link, in);
             }
             return;
         }
-        if (OF_THE_HOME.contains(in.type) && !home.isHome(link)) {
+        if (OF_THE_HOME.contains(in.type()) && !home.isHome(link)) {
             RingLog.note(
-                    "link " + link.peer + ": record " + in.type + " is not from the home, dropped");
+                    "link "
+                            + link.peer
+                            + ": record "
+                            + in.type()
+                            + " is not from the home, dropped");
             return;
         }
-        switch (in.type) {
-            case FleetRecords.HELLO -> {
+        switch (in.type()) {
+            case RecordType.HELLO -> {
                 link.peer = in.text();
-                link.send(new Codec.Out(FleetRecords.HEARD).bytes());
+                link.send(new RecordWriter(RecordType.KNOWN_PEERS).bytes());
             }
-            case FleetRecords.HEARD -> {}
-            case FleetRecords.NEWS -> onNews(link, in);
-            case FleetRecords.CONFIGURATION -> onConfiguration(in);
-            case FleetRecords.REPLICAS -> onReplicas(in);
-            case FleetRecords.DUTY_GRANT -> onGrant(in);
-            case FleetRecords.JOBS -> onJobs(in);
-            case FleetRecords.ANSWER -> core.onAnswer(link, in);
-            case FleetRecords.WHOLE_SUM -> load.onWhole(in, Clocks.nowUs());
-            case FleetRecords.REPORT -> onReport(Overload.Report.read(in));
-            case FleetRecords.QUERY ->
+            case RecordType.KNOWN_PEERS -> {}
+            case RecordType.EDGE_LEASE_RESPONSE -> onNews(link, in);
+            case RecordType.CONFIGURATION -> onConfiguration(in);
+            case RecordType.REPLICA_UPDATE -> onReplicas(in);
+            case RecordType.LEASE_GRANT -> onGrant(in);
+            case RecordType.JOB_LIST -> onJobs(in);
+            case RecordType.ORDER_RESPONSE -> core.onAnswer(link, in);
+            case RecordType.TOTAL_LOAD -> load.onWhole(in, Clocks.nowUs());
+            case RecordType.OVERLOAD_REPORT -> onReport(Overload.Report.read(in));
+            case RecordType.SHELL_QUERY ->
                     link.send(
-                            new Codec.Out(FleetRecords.TEXT).text(shell.answer(in.text())).bytes());
-            default -> RingLog.note("link " + link.peer + ": unknown record " + in.type);
+                            new RecordWriter(RecordType.SHELL_RESPONSE)
+                                    .text(shell.answer(in.text()))
+                                    .bytes());
+            default -> RingLog.note("link " + link.peer + ": unknown record " + in.type());
         }
     }
 
--- a/edge/src/main/java/martenloom/edge/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/HomeConnection.java
@@ -13,8 +13,8 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
@@ -124,7 +124,7 @@
 
     /** Asks the home for its whole state. */
     void requestWholeState() {
-        send(new Codec.Out(FleetRecords.RESYNC).bytes());
+        send(new RecordWriter(RecordType.RESYNC_REQUEST).bytes());
     }
 
     /** Whether all replicas were received since the last home that was never a candidate. */
--- a/edge/src/main/java/martenloom/edge/LoadView.java
+++ b/edge/src/main/java/martenloom/edge/LoadView.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.load.LoadSummary;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.replica.ReplicaTable;
@@ -61,7 +62,7 @@
             }
         }
         dispatcher.inFlight(t);
-        var b = t.write(new Codec.Out()).bytes();
+        var b = t.write(new RecordWriter()).bytes();
         if (Arrays.equals(b, last) && dispatcher.places.told() && ++quiet < QUIET_TURNS) {
             return Optional.empty();
         }
@@ -71,12 +72,12 @@
         if (told.size() > TOLD) {
             told.remove(told.keySet().iterator().next());
         }
-        var o = t.write(new Codec.Out(FleetRecords.SAMPLE).text(ip).i64(life).i64(seq));
+        var o = t.write(new RecordWriter(RecordType.LOAD_SAMPLE).text(ip).i64(life).i64(seq));
         dispatcher.places.write(o);
         return Optional.of(o.bytes());
     }
 
-    void onWhole(Codec.In in, long now) {
+    void onWhole(RecordReader in, long now) {
         var mine = told.getOrDefault(in.i64(), new LoadSummary());
         whole = LoadSummary.read(in);
         wholeUs = now;
--- a/edge/src/main/java/martenloom/edge/EdgeDuties.java
+++ b/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 import martenloom.common.settings.Settings;
 import martenloom.edge.dispatch.RequestDispatcher;
-import martenloom.edge.duty.HeldDuties;
+import martenloom.edge.lease.HeldLeases;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -14,13 +14,13 @@
  * holds by a running lease. A grant counts only when it names this life of the edge as the holder.
  * All methods run on the thread of the reactor.
  */
-final class EdgeDuties {
+final class RoleLeaseClient {
     private final Settings settings;
     private final RequestDispatcher dispatcher;
     private final long life;
-    private final HeldDuties held = new HeldDuties();
+    private final HeldLeases held = new HeldLeases();
 
-    EdgeDuties(Settings settings, RequestDispatcher dispatcher, long life) {
+    RoleLeaseClient(Settings settings, RequestDispatcher dispatcher, long life) {
         this.settings = settings;
         this.dispatcher = dispatcher;
         this.life = life;
--- a/edge/src/main/java/martenloom/edge/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/ShellQueries.java
@@ -23,7 +23,7 @@
     private final RequestDispatcher dispatcher;
     private final JobRunner jobs;
     private final ScaleRunner scaler;
-    private final EdgeDuties duties;
+    private final RoleLeaseClient duties;
     private final Supplier<String> home;
 
     /**
@@ -35,7 +35,7 @@
             RequestDispatcher dispatcher,
             JobRunner jobs,
             ScaleRunner scaler,
-            EdgeDuties duties,
+            RoleLeaseClient duties,
             Supplier<String> home) {
         this.dispatcher = dispatcher;
         this.jobs = jobs;
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.common.clock.Clocks;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
 import martenloom.edge.budget.RetryBudget;
@@ -443,7 +443,7 @@
     }
 
     /** A replica's life ended or its time runs out: what can go on elsewhere does. */
-    public void onReplica(FleetRecords.Replica replica) {
+    public void onReplica(ReplicaRecord replica) {
         replicaTable.take(replica);
         replicaTable.slot(replica.id).ifPresent(chooser::markResting);
     }
