--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -16,7 +16,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.Request;
@@ -139,7 +140,7 @@
                     job.id,
                     fence,
                     job.runs,
-                    body(new Codec.Out().text(last).i32(kept).blob(n)),
+                    body(new RecordWriter().text(last).i32(kept).blob(n)),
                     (s, t) -> {
                         if (s == 200) {
                             kept += n.length;
@@ -155,12 +156,12 @@
         void done(int status) {
             tell(
                     "JOB_DONE",
-                    () -> body(new Codec.Out().i32(status).i32(kept).blob(fresh.toByteArray())),
+                    () -> body(new RecordWriter().i32(status).i32(kept).blob(fresh.toByteArray())),
                     0);
         }
 
         void back(int how, String why) {
-            tell("JOB_BACK", () -> body(new Codec.Out().u8(how).text(why)), 0);
+            tell("JOB_BACK", () -> body(new RecordWriter().u8(how).text(why)), 0);
         }
 
         /** Tells the end until the core has a clear answer or the duty is gone. */
@@ -225,7 +226,7 @@
         this.me = me;
     }
 
-    private static String body(Codec.Out o) {
+    private static String body(RecordWriter o) {
         return Base64.getEncoder().encodeToString(o.bytes());
     }
 
@@ -307,7 +308,7 @@
                 l.id,
                 grant,
                 l.runs,
-                body(new Codec.Out().u8(ran.contains(l.id) ? 1 : 0).text("it was let go")),
+                body(new RecordWriter().u8(ran.contains(l.id) ? 1 : 0).text("it was let go")),
                 (s, t) -> later.accept(600_000L, () -> starting.remove(l.id)));
     }
 
@@ -333,7 +334,7 @@
                     starting.remove(l.id);
                     if (s == 200 && !t.isEmpty() && held.getAsBoolean() && g == grant) {
                         run(
-                                Job.read(new Codec.In(Base64.getDecoder().decode(t), false)),
+                                Job.read(new RecordReader(Base64.getDecoder().decode(t), false)),
                                 g,
                                 u,
                                 l.leftUs);
--- a/edge/src/main/java/martenloom/edge/duty/HeldDuties.java
+++ b/edge/src/main/java/martenloom/edge/lease/HeldLeases.java
@@ -1,4 +1,4 @@
-package martenloom.edge.duty;
+package martenloom.edge.lease;
 
 import java.util.Map;
 import java.util.Optional;
@@ -9,7 +9,7 @@
  * moment the edge asked for it, less a margin, so that it ends here before the core may grant the
  * duty to another. A grant that is older than the one known changes nothing, however late it comes.
  */
-public final class HeldDuties {
+public final class HeldLeases {
     private static final long MARGIN_US = 300_000;
 
     private record Lease(long grant, long untilUs) {}
--- a/edge/src/main/java/martenloom/edge/overload/Overload.java
+++ b/edge/src/main/java/martenloom/edge/overload/Overload.java
@@ -3,7 +3,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 
 /**
  * Overload reports after DOIC's loss algorithm, both halves, with no input or output. The reporter
@@ -44,7 +45,7 @@
             return region + "/" + model;
         }
 
-        public void write(Codec.Out o) {
+        public void write(RecordWriter o) {
             o.text(region)
                     .text(model)
                     .text(reporter)
@@ -55,7 +56,7 @@
                     .i32(percent);
         }
 
-        public static Report read(Codec.In in) {
+        public static Report read(RecordReader in) {
             return new Report(
                     in.text(),
                     in.text(),
--- a/edge/src/main/java/martenloom/edge/replica/PrefixOwners.java
+++ b/edge/src/main/java/martenloom/edge/replica/PrefixOwners.java
@@ -4,7 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 
 /**
  * Where large shared parts of prompts were last sent, by any edge: each edge tells its peers, by
@@ -53,12 +54,12 @@
     }
 
     /** Writes what has not been told yet. */
-    public void write(Codec.Out o) {
+    public void write(RecordWriter o) {
         o.list(untold.entrySet(), (w, e) -> w.text(e.getKey()).text(e.getValue()));
         untold.clear();
     }
 
-    public void read(Codec.In in) {
+    public void read(RecordReader in) {
         in.list(
                 x -> {
                     learn(x.text(), x.text());
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.common.clock.Clocks;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.edge.dispatch.Attempt;
@@ -54,7 +54,7 @@
 
     /** What this edge knows of one life of a replica. */
     public static final class Slot {
-        public FleetRecords.Replica row;
+        public ReplicaRecord row;
         public String region = "";
         public final InetSocketAddress address;
         public final ArrayDeque<ReplicaConnection> idle = new ArrayDeque<>();
@@ -101,7 +101,7 @@
                 new Object2IntLinkedOpenHashMap<>();
         private long keptTokens;
 
-        private Slot(FleetRecords.Replica r) {
+        private Slot(ReplicaRecord r) {
             row = r;
             address = Settings.address("Address", r.address);
         }
@@ -374,7 +374,7 @@
      * Takes a row; gives the slot when it is now gone, so that what is in its hands can be looked
      * after.
      */
-    public void take(FleetRecords.Replica r) {
+    public void take(ReplicaRecord r) {
         if (r.gone) {
             ended.put(r.id, true);
         } else if (ended.containsKey(r.id)) {
--- a/edge/src/test/java/martenloom/edge/duty/HeldDutiesTest.java
+++ b/edge/src/test/java/martenloom/edge/lease/HeldLeasesTest.java
@@ -1,4 +1,4 @@
-package martenloom.edge.duty;
+package martenloom.edge.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Leases of duties at an edge: late and doubtful grants change nothing. */
-final class HeldDutiesTest {
+final class HeldLeasesTest {
     private static final long LEASE_US = 2_500_000;
-    private final HeldDuties duties = new HeldDuties();
+    private final HeldLeases duties = new HeldLeases();
 
     @Test
     void aLateOlderGrantNeitherReplacesNorProlongsANewerOne() {
--- a/edge/src/test/java/martenloom/edge/overload/OverloadTest.java
+++ b/edge/src/test/java/martenloom/edge/overload/OverloadTest.java
@@ -5,7 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Optional;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.edge.overload.Overload.Phase;
 import martenloom.edge.overload.Overload.Receiver;
 import martenloom.edge.overload.Overload.Report;
@@ -149,8 +150,8 @@
 
     @Test
     void aReportTravelsAsARecord() {
-        var o = new Codec.Out(1);
+        var o = new RecordWriter(1);
         r(3, 9, 5, 70).write(o);
-        assertEquals(r(3, 9, 5, 70), Report.read(new Codec.In(o.bytes(), true)));
+        assertEquals(r(3, 9, 5, 70), Report.read(new RecordReader(o.bytes(), true)));
     }
 }
--- a/edge/src/test/java/martenloom/edge/replica/EndedReplicaTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/EndedReplicaTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
 import org.junit.jupiter.api.Test;
 
@@ -26,8 +26,8 @@
             """;
     private final ReplicaTable replicaTable = new ReplicaTable(Settings.parse(SETTINGS));
 
-    private static FleetRecords.Replica row(long sequence, boolean draining, boolean gone) {
-        var row = new FleetRecords.Replica();
+    private static ReplicaRecord row(long sequence, boolean draining, boolean gone) {
+        var row = new ReplicaRecord();
         row.id = "i";
         row.address = "10.0.0.9:80";
         row.zone = "a";
--- a/edge/src/test/java/martenloom/edge/replica/EvidenceTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/EvidenceTest.java
@@ -4,8 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
 import org.junit.jupiter.api.Test;
@@ -30,7 +31,7 @@
     private final ReplicaTable replicaTable = new ReplicaTable(SETTINGS);
 
     private ReplicaTable.Slot slot(String id) {
-        var r = new FleetRecords.Replica();
+        var r = new ReplicaRecord();
         r.id = id;
         r.service = "s";
         r.address = "10.0.0.9:80";
@@ -66,12 +67,12 @@
         b.put("i", 2, 0, false).heard = 1;
         var t =
                 LoadSummary.read(
-                        new Codec.In(
+                        new RecordReader(
                                 new LoadSummary()
                                         .add(a)
                                         .add(b)
                                         .doubtful()
-                                        .write(new Codec.Out())
+                                        .write(new RecordWriter())
                                         .bytes(),
                                 false));
         assertEquals(1, t.load("i").doubts);
--- a/edge/src/test/java/martenloom/edge/replica/HoldTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/HoldTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +25,7 @@
                             + "[ListenAddresses]\n");
 
     private static ReplicaTable.Slot slot() {
-        var r = new FleetRecords.Replica();
+        var r = new ReplicaRecord();
         r.id = "i";
         r.address = "10.0.0.9:80";
         r.zone = "a";
--- a/edge/src/test/java/martenloom/edge/replica/PrefixOwnersTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/PrefixOwnersTest.java
@@ -4,15 +4,16 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import org.junit.jupiter.api.Test;
 
 /** Where shared parts are kept is told to the home once, and the newest word counts. */
 final class PrefixOwnersTest {
-    private static Codec.In told(PrefixOwners p) {
-        var o = new Codec.Out();
+    private static RecordReader told(PrefixOwners p) {
+        var o = new RecordWriter();
         p.write(o);
-        return new Codec.In(o.bytes(), false);
+        return new RecordReader(o.bytes(), false);
     }
 
     @Test
--- a/launcher/src/main/java/martenloom/launcher/Commands.java
+++ b/launcher/src/main/java/martenloom/launcher/Commands.java
@@ -5,7 +5,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
-import martenloom.common.error.Fault;
+import martenloom.common.error.InvalidConfigurationException;
+import martenloom.common.error.UsageException;
 import martenloom.common.settings.Settings;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
@@ -45,7 +46,7 @@
         try {
             c = new DefaultParser().parse(o, args);
         } catch (ParseException e) {
-            throw Fault.here(Fault.Code.USAGE, "read command line", e.getMessage());
+            throw new UsageException("read command line", e.getMessage());
         }
         if (c.hasOption("help")) {
             System.out.println(USAGE);
@@ -68,8 +69,7 @@
                             Optional.ofNullable(c.getOptionValue("at")).orElse(""),
                             a.subList(1, a.size()));
             default ->
-                    throw Fault.here(
-                            Fault.Code.USAGE,
+                    throw new UsageException(
                             "read command line",
                             (verb.isEmpty()
                                             ? "a role or command is missing"
@@ -80,7 +80,7 @@
 
     private static String file(List<String> a) {
         if (a.size() != 2) {
-            throw Fault.here(Fault.Code.USAGE, "read command line", a.get(0) + " takes one FILE");
+            throw new UsageException("read command line", a.get(0) + " takes one FILE");
         }
         return a.get(1);
     }
@@ -106,8 +106,7 @@
         if (a.size() != 3
                 || !a.get(1).contains("/")
                 || !a.get(2).equals("unload") && !a.get(2).equals("load")) {
-            throw Fault.here(
-                    Fault.Code.USAGE,
+            throw new UsageException(
                     "read command line",
                     "check-placement --at IP:PORT takes REGION/MODEL and unload or load");
         }
@@ -122,7 +121,7 @@
         try {
             return Files.readString(Path.of(f));
         } catch (IOException e) {
-            throw Fault.here(Fault.Code.CONFIGURATION, step, f + " cannot be read");
+            throw new InvalidConfigurationException(step, f + " cannot be read");
         }
     }
 
--- a/launcher/src/main/java/martenloom/launcher/Launcher.java
+++ b/launcher/src/main/java/martenloom/launcher/Launcher.java
@@ -8,7 +8,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import martenloom.autoscaler.ScaleSettings;
 import martenloom.common.clock.Clocks;
-import martenloom.common.error.Fault;
+import martenloom.common.error.ErrorCode;
+import martenloom.common.error.InvalidSettingsException;
+import martenloom.common.error.LinkException;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.error.UsageException;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
@@ -27,9 +31,9 @@
     public static void main(String[] args) {
         try {
             System.exit(run(args));
-        } catch (Fault f) {
+        } catch (MartenloomException f) {
             System.err.println("martenloom: " + f.getMessage());
-            System.exit(f.code == Fault.Code.USAGE ? 2 : 1);
+            System.exit(f.code() == ErrorCode.USAGE ? 2 : 1);
         }
     }
 
@@ -57,7 +61,7 @@
                 core(p, loop);
             }
         } catch (IOException e) {
-            throw Fault.here(Fault.Code.LINK, "listen", String.valueOf(e.getMessage()));
+            throw new LinkException("listen", String.valueOf(e.getMessage()));
         }
         loop.run();
         return 0;
@@ -71,8 +75,7 @@
             return ScaleSettings.DEFAULT;
         }
         if (args.length != 3 || !verb.equals("edge") || !args[1].equals("--scaling")) {
-            throw Fault.here(
-                    Fault.Code.USAGE,
+            throw new UsageException(
                     "read command line",
                     verb
                             + (verb.equals("edge")
@@ -93,10 +96,8 @@
     private static void core(Settings p, Eventloop loop) throws IOException {
         p.need("ControlPlane");
         if (p.dataDir.isEmpty()) {
-            throw Fault.here(
-                    Fault.Code.SETTINGS,
-                    "check settings",
-                    "DataDirectory: missing, and this role needs it");
+            throw new InvalidSettingsException(
+                    "check settings", "DataDirectory: missing, and this role needs it");
         }
         var c = new CoreDaemon(p, loop, new VersionedStore.RealFolder(p.dataDir));
         loop.execute(() -> starting(() -> c.start()));
@@ -114,7 +115,7 @@
         } catch (IOException | RuntimeException e) {
             System.err.println(
                     "martenloom: "
-                            + Fault.here(Fault.Code.LINK, "listen", String.valueOf(e.getMessage()))
+                            + new LinkException("listen", String.valueOf(e.getMessage()))
                                     .getMessage());
             Runtime.getRuntime().halt(1);
         }
@@ -149,7 +150,7 @@
         try {
             p.adopt(Settings.parse(t));
             RingLog.note("settings read again");
-        } catch (Fault f) {
+        } catch (MartenloomException f) {
             RingLog.wrong("settings changed and are not usable: " + f.getMessage());
         }
     }
--- a/launcher/src/main/java/martenloom/launcher/PlacementCheck.java
+++ b/launcher/src/main/java/martenloom/launcher/PlacementCheck.java
@@ -7,7 +7,7 @@
 import com.typesafe.config.ConfigRenderOptions;
 import com.typesafe.config.ConfigSyntax;
 import java.util.Set;
-import martenloom.common.error.Fault;
+import martenloom.common.error.InvalidConfigurationException;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.placement.Placement;
@@ -31,10 +31,8 @@
                     ConfigFactory.parseString(
                             json, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON)));
         } catch (ConfigException e) {
-            throw Fault.here(
-                    Fault.Code.CONFIGURATION,
-                    "check placement",
-                    String.valueOf(e.getMessage()).replace('\n', ' '));
+            throw new InvalidConfigurationException(
+                    "check placement", String.valueOf(e.getMessage()).replace('\n', ' '));
         }
     }
 
--- a/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
@@ -4,7 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import martenloom.common.error.Fault;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.error.UsageException;
 import martenloom.simulation.Simulation;
 import martenloom.simulation.TroubleKind;
 import org.apache.commons.cli.CommandLine;
@@ -76,7 +77,7 @@
                 .toList();
     }
 
-    private static Fault unknown(String word) {
+    private static MartenloomException unknown(String word) {
         var known =
                 Arrays.stream(TroubleKind.values())
                         .map(TroubleKind::word)
@@ -84,7 +85,7 @@
         return usage("--kinds: '" + word + "' is none of " + known);
     }
 
-    private static Fault usage(String why) {
-        return Fault.here(Fault.Code.USAGE, "read command line", "simulate " + why);
+    private static MartenloomException usage(String why) {
+        return new UsageException("read command line", "simulate " + why);
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/CommandsTest.java
+++ b/launcher/src/test/java/martenloom/launcher/CommandsTest.java
@@ -13,7 +13,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import martenloom.common.error.Fault;
+import martenloom.common.error.MartenloomException;
 import martenloom.common.settings.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -40,9 +40,9 @@
     @TempDir Path dir;
 
     private static String refused(String... args) {
-        var f = assertThrows(Fault.class, () -> Commands.run(args));
+        var f = assertThrows(MartenloomException.class, () -> Commands.run(args));
         assertFalse(f.getMessage().contains("\n"));
-        return f.code + " " + f.getMessage();
+        return f.code() + " " + f.getMessage();
     }
 
     private String file(String name, String text) throws IOException {
--- a/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
@@ -26,7 +26,7 @@
 import java.util.stream.IntStream;
 import martenloom.autoscaler.ScaleSettings;
 import martenloom.common.clock.Clocks;
-import martenloom.common.error.Fault;
+import martenloom.common.error.StorageException;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.VersionedStore;
@@ -143,7 +143,7 @@
                         new Class<?>[] {VersionedStore.Folder.class},
                         (x, m, a) -> {
                             if (m.getName().equals("writeSynced") && fullDisks.contains(i)) {
-                                throw Fault.here(Fault.Code.DISK, "write", "no space left");
+                                throw new StorageException("write", "no space left");
                             }
                             return d.use(m, a);
                         });
--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -23,7 +23,10 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import martenloom.common.clock.Clocks;
-import martenloom.common.error.Fault;
+import martenloom.common.error.ErrorCode;
+import martenloom.common.error.LinkException;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.error.UsageException;
 import martenloom.common.link.LinkTraffic;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
@@ -116,17 +119,17 @@
                 System.out.println(line(z, measure(z, net++)));
             }
             return 0;
-        } catch (Fault f) {
+        } catch (MartenloomException f) {
             System.err.println("rig: " + f.getMessage());
-            return f.code == Fault.Code.USAGE ? 2 : 1;
+            return f.code() == ErrorCode.USAGE ? 2 : 1;
         } catch (IOException | InterruptedException e) {
             System.err.println("rig: " + e);
             return 1;
         }
     }
 
-    private static Fault bad(String why) {
-        return Fault.here(Fault.Code.USAGE, "read command line", why + " (" + USAGE + ")");
+    private static MartenloomException bad(String why) {
+        return new UsageException("read command line", why + " (" + USAGE + ")");
     }
 
     static List<Size> read(String[] a) {
@@ -526,7 +529,7 @@
                 }
             }
             if (i > 100) {
-                throw Fault.here(Fault.Code.LINK, "change configuration", "not acknowledged");
+                throw new LinkException("change configuration", "not acknowledged");
             }
         }
         var end = System.nanoTime() + 20_000_000_000L;
--- a/routing/src/main/java/martenloom/routing/configuration/Configurations.java
+++ b/routing/src/main/java/martenloom/routing/configuration/Configurations.java
@@ -20,7 +20,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import martenloom.autoscaler.ScaleSettings;
-import martenloom.common.error.Fault;
+import martenloom.common.error.InvalidConfigurationException;
+import martenloom.common.error.MartenloomException;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.route.RouteTable;
 
@@ -113,11 +114,9 @@
         }
     }
 
-    private static Fault bad(ConfigException e) {
-        return Fault.here(
-                Fault.Code.CONFIGURATION,
-                "check configuration",
-                String.valueOf(e.getMessage()).replace('\n', ' '));
+    private static MartenloomException bad(ConfigException e) {
+        return new InvalidConfigurationException(
+                "check configuration", String.valueOf(e.getMessage()).replace('\n', ' '));
     }
 
     private static Config parse(String json) {
--- a/routing/src/main/java/martenloom/routing/language/RoutingLanguage.java
+++ b/routing/src/main/java/martenloom/routing/language/RoutingLanguage.java
@@ -11,7 +11,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import martenloom.autoscaler.ScaleSettings;
-import martenloom.common.error.Fault;
+import martenloom.common.error.InvalidConfigurationException;
+import martenloom.common.error.MartenloomException;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -142,15 +143,13 @@
         private int line;
         private int at;
 
-        private Fault bad(int word, String why) {
+        private MartenloomException bad(int word, String why) {
             var c =
                     word < columns.size()
                             ? columns.get(word)
                             : columns.isEmpty() ? 1 : columns.get(columns.size() - 1);
-            return Fault.here(
-                    Fault.Code.CONFIGURATION,
-                    "compile routing text",
-                    "line " + line + " column " + c + ": " + why);
+            return new InvalidConfigurationException(
+                    "compile routing text", "line " + line + " column " + c + ": " + why);
         }
 
         private void split(String s) {
@@ -350,7 +349,7 @@
             }
             try {
                 scaling.put(m, ScaleSettings.DEFAULT.with(m, v));
-            } catch (Fault x) {
+            } catch (MartenloomException x) {
                 throw bad(at - 1, x.getMessage());
             }
         }
--- a/routing/src/test/java/martenloom/routing/ConfigurationsTest.java
+++ b/routing/src/test/java/martenloom/routing/ConfigurationsTest.java
@@ -5,7 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import martenloom.common.error.Fault;
+import martenloom.common.error.ErrorCode;
+import martenloom.common.error.MartenloomException;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
 import org.approvaltests.Approvals;
@@ -82,8 +83,8 @@
     }
 
     private static void bad(String json, String word) {
-        var f = assertThrows(Fault.class, () -> Configurations.replace(json));
-        assertEquals(Fault.Code.CONFIGURATION, f.code);
+        var f = assertThrows(MartenloomException.class, () -> Configurations.replace(json));
+        assertEquals(ErrorCode.CONFIGURATION, f.code());
         assertTrue(f.getMessage().contains(word), f.getMessage());
         assertFalse(f.getMessage().contains("\n"));
     }
@@ -108,7 +109,7 @@
     void theCompilerNamesLineAndColumn() {
         var f =
                 assertThrows(
-                        Fault.class,
+                        MartenloomException.class,
                         () ->
                                 RoutingLanguage.compile(
                                         "revision 3\nservice s health /h connections many\n"));
--- a/shell/src/main/java/martenloom/shell/Shell.java
+++ b/shell/src/main/java/martenloom/shell/Shell.java
@@ -9,9 +9,11 @@
 import java.net.Socket;
 import java.util.List;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
-import martenloom.common.error.Fault;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.error.LinkException;
+import martenloom.common.error.UsageException;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.settings.Settings;
 
 /**
@@ -24,8 +26,7 @@
 
     public static int run(String at, List<String> words) {
         if (at.isEmpty()) {
-            throw Fault.here(
-                    Fault.Code.USAGE,
+            throw new UsageException(
                     "read command line",
                     "shell needs --at IP:PORT (a daemon's first internal port)");
         }
@@ -59,17 +60,16 @@
             s.connect(to, 2000);
             s.setSoTimeout(3000);
             var out = new DataOutputStream(s.getOutputStream());
-            var b = new Codec.Out(FleetRecords.QUERY).text(q).bytes();
+            var b = new RecordWriter(RecordType.SHELL_QUERY).text(q).bytes();
             out.writeInt(b.length);
             out.write(b);
             out.flush();
             var in = new DataInputStream(s.getInputStream());
             var r = new byte[in.readInt()];
             in.readFully(r);
-            return new Codec.In(r, true).text();
+            return new RecordReader(r, true).text();
         } catch (IOException e) {
-            throw new Fault(
-                    Fault.Code.LINK,
+            throw new LinkException(
                     "ask daemon",
                     to.getAddress().getHostAddress() + ":" + to.getPort(),
                     String.valueOf(e.getMessage()));
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /**
  * The calls on the configuration, as one register with versions. Since versions only rise, a
@@ -46,7 +46,7 @@
         sent.put(order.body, order);
     }
 
-    void onCommitted(CoreState state) {
+    void onCommitted(ClusterState state) {
         if (state.revision == 0) {
             return;
         }
@@ -72,7 +72,7 @@
     }
 
     /** Two neighbouring editions: the configuration moves on from its base, or stays. */
-    void onNext(CoreState before, CoreState after) {
+    void onNext(ClusterState before, ClusterState after) {
         var moved = after.revision != before.revision;
         var order = sent.get(after.json);
         check(
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
@@ -1,7 +1,7 @@
 package martenloom.simulation;
 
 import java.util.Optional;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /**
  * Reads the configuration, replaces it, and at times sends an order again that was acknowledged
@@ -43,7 +43,7 @@
     private void read() {
         var floor = history.floor();
         callers.call(
-                new CoreState.Change(CoreState.Act.READ, 0, "", ""),
+                new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
                 answer -> {
                     if (answer.isPresent()) {
                         next(history.onRead(answer.get().status(), answer.get().text(), floor));
@@ -95,7 +95,8 @@
 
     private void send(ConfigurationHistory.Order order) {
         var floor = history.floor();
-        var change = new CoreState.Change(CoreState.Act.REPLACE, order.base(), "", order.body());
+        var change =
+                new ClusterState.Change(ClusterState.Act.REPLACE, order.base(), "", order.body());
         callers.call(change, answer -> onAnswer(order, floor, answer));
     }
 
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
@@ -1,6 +1,6 @@
 package martenloom.simulation;
 
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /** Reads the configuration again and again, from any member. */
 final class ConfigurationReader {
@@ -22,7 +22,7 @@
     void start() {
         var floor = history.floor();
         callers.call(
-                new CoreState.Change(CoreState.Act.READ, 0, "", ""),
+                new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
                 answer -> {
                     answer.ifPresent(a -> history.onRead(a.status(), a.text(), floor));
                     agenda.after(random.between(0, LONGEST_PAUSE_US), this::start);
--- a/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /**
  * The orders that evacuate zones, as one register for each zone. An operator gives the orders for
@@ -29,7 +29,7 @@
     }
 
     private final Map<String, Zone> zones = new HashMap<>();
-    private CoreState newest = CoreState.founded(List.of());
+    private ClusterState newest = ClusterState.founded(List.of());
 
     void onSent(String zone, boolean evacuated) {
         var z = zones.computeIfAbsent(zone, k -> new Zone());
@@ -71,14 +71,14 @@
         zones.get(zone).open = false;
     }
 
-    void onCommitted(CoreState state) {
+    void onCommitted(ClusterState state) {
         if (state.edition > newest.edition) {
             newest = state;
         }
         zones.forEach((name, zone) -> check(name, zone, state));
     }
 
-    private static void check(String name, Zone zone, CoreState state) {
+    private static void check(String name, Zone zone, ClusterState state) {
         zone.shown |= state.evacuated.contains(name) == zone.wanted;
         if (zone.open || zone.acknowledged.isEmpty() || state.edition <= zone.editionAtAnswer) {
             return;
--- a/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
@@ -1,6 +1,6 @@
 package martenloom.simulation;
 
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 
 /** Evacuates one zone and brings it back, again and again. */
 final class EvacuationOperator {
@@ -30,10 +30,10 @@
     }
 
     private void order(boolean evacuate) {
-        var act = evacuate ? CoreState.Act.EVAC_START : CoreState.Act.EVAC_FINISH;
+        var act = evacuate ? ClusterState.Act.EVAC_START : ClusterState.Act.EVAC_FINISH;
         history.onSent(zone, evacuate);
         callers.call(
-                new CoreState.Change(act, 0, zone, ""),
+                new ClusterState.Change(act, 0, zone, ""),
                 answer -> {
                     if (answer.isEmpty()) {
                         history.onGivenUp(zone);
--- a/simulation/src/main/java/martenloom/simulation/Invariants.java
+++ b/simulation/src/main/java/martenloom/simulation/Invariants.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * Looks on at every commit and every acknowledgement, and throws a {@link Violation} at the first
@@ -16,9 +16,9 @@
 final class Invariants {
     private record Acknowledger(String address, long life) {}
 
-    private final TreeMap<Long, CoreState> committed = new TreeMap<>();
+    private final TreeMap<Long, ClusterState> committed = new TreeMap<>();
     private final Map<Long, byte[]> bytes = new HashMap<>();
-    private final Map<ChainCore.Ballot, Acknowledger> acknowledgers = new HashMap<>();
+    private final Map<ChainMember.Ballot, Acknowledger> acknowledgers = new HashMap<>();
     private final ConfigurationHistory configurations = new ConfigurationHistory();
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
@@ -40,7 +40,7 @@
         return committed.isEmpty() ? 0 : committed.lastKey();
     }
 
-    void committed(String address, CoreState state) {
+    void committed(String address, ClusterState state) {
         if (state.edition == 0) {
             return;
         }
@@ -56,7 +56,7 @@
         }
     }
 
-    private void onNewEdition(CoreState state) {
+    private void onNewEdition(ClusterState state) {
         var before = committed.get(state.edition - 1);
         if (before != null) {
             checkRosters(before.roster, state.roster);
@@ -80,7 +80,7 @@
         return roster.size() / 2 + 1;
     }
 
-    void acknowledged(ChainCore.Ballot view, String address, long life) {
+    void acknowledged(ChainMember.Ballot view, String address, long life) {
         var mine = new Acknowledger(address, life);
         var known = acknowledgers.putIfAbsent(view, mine);
         if (known != null && !known.equals(mine)) {
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -3,9 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
-import martenloom.core.duty.DutyService;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
+import martenloom.core.lease.RoleLeaseService;
 
 /**
  * The way of a candidate's wish for a lease from its home to the head of the chain, and of the
@@ -21,11 +22,11 @@
     }
 
     private final Process process;
-    private final DutyService duties;
+    private final RoleLeaseService duties;
     private final Map<String, Grantee> grantees = new HashMap<>();
     private final Map<String, Long> passedOnUs = new HashMap<>();
 
-    LeaseForwarder(Process process, DutyService duties) {
+    LeaseForwarder(Process process, RoleLeaseService duties) {
         this.process = process;
         this.duties = duties;
     }
@@ -43,26 +44,26 @@
             passedOnUs.put(key, process.nowUs());
         }
         if (process.chain().heading()) {
-            duties.want(key, holder, stampUs, record -> grant(new Codec.In(record, true)));
+            duties.want(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
             return;
         }
-        var record = new Codec.Out(FleetRecords.DUTY_WANT).text(key).text(holder).i64(stampUs);
+        var record = new RecordWriter(RecordType.LEASE_REQUEST).text(key).text(holder).i64(stampUs);
         process.connection(process.chain().head()).ifPresent(c -> c.send(record.bytes()));
     }
 
-    void onWant(SimulatedNetwork.Connection by, Codec.In in) {
+    void onWant(SimulatedNetwork.Connection by, RecordReader in) {
         duties.want(in.text(), in.text(), in.i64(), by::answer);
     }
 
     /** A grant counts only when it comes from the head and no newer one is known. */
-    void onGrant(SimulatedNetwork.Connection by, Codec.In in) {
+    void onGrant(SimulatedNetwork.Connection by, RecordReader in) {
         var ofHead = process.connection(process.chain().head()).filter(c -> c == by).isPresent();
         if (ofHead) {
             grant(in);
         }
     }
 
-    private void grant(Codec.In in) {
+    private void grant(RecordReader in) {
         var holder = in.text();
         var key = in.text();
         var grant = in.i64();
--- a/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import martenloom.core.duty.DutyService;
-import martenloom.core.state.CoreState;
+import martenloom.core.lease.RoleLeaseService;
+import martenloom.core.state.ClusterState;
 
 /** The leases as their holders see them: one holder at a time, and grants that only rise. */
 final class LeaseHistory {
@@ -21,7 +21,7 @@
      * A candidate may act on this grant until its lease, counted from its own wish, has run out.
      */
     void onGranted(String key, String holder, long grant, long stampUs, long nowUs) {
-        var lease = new Lease(holder, grant, stampUs + DutyService.LEASE_US);
+        var lease = new Lease(holder, grant, stampUs + RoleLeaseService.LEASE_US);
         if (lease.untilUs <= nowUs) {
             return;
         }
@@ -44,7 +44,7 @@
     /**
      * Between two neighbouring editions a grant stays, or the next number goes to another holder.
      */
-    void onNext(CoreState before, CoreState after) {
+    void onNext(ClusterState before, ClusterState after) {
         after.duties.forEach(
                 (key, duty) -> {
                     var held = before.duties.get(key);
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
@@ -3,11 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 
 /**
  * The way of an order from the member that a caller reached to the head of the chain, and of the
@@ -26,7 +27,7 @@
         remote = new PendingRequests<>(life);
     }
 
-    void forward(CoreState.Change change, Reply reply) {
+    void forward(ClusterState.Change change, Reply reply) {
         var chain = process.chain();
         if (chain.heading()) {
             askHere(change, reply);
@@ -38,7 +39,7 @@
             return;
         }
         var id = remote.open(head.get(), reply::accept);
-        var record = new Codec.Out(FleetRecords.ASK);
+        var record = new RecordWriter(RecordType.ORDER_REQUEST);
         id.write(record);
         change.write(record);
         head.get().send(record.bytes());
@@ -46,13 +47,13 @@
     }
 
     /** Hands an order to the chain of this member. */
-    void askHere(CoreState.Change change, Reply reply) {
+    void askHere(ClusterState.Change change, Reply reply) {
         var id = ++lastLocal;
         local.put(id, reply);
         process.chain().onAsk(process.nowUs(), id, change);
     }
 
-    void onChainAnswer(ChainCore.Answer answer) {
+    void onChainAnswer(ChainMember.Answer answer) {
         Optional.ofNullable(local.remove(answer.request()))
                 .ifPresent(r -> r.accept(answer.status(), answer.text()));
     }
@@ -61,19 +62,19 @@
         remote.closed(connection, "the link closed before an answer");
     }
 
-    void onAsk(SimulatedNetwork.Connection by, Codec.In in) {
+    void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        askHere(CoreState.Change.read(in), (status, text) -> answer(by, id, status, text));
+        askHere(ClusterState.Change.read(in), (status, text) -> answer(by, id, status, text));
     }
 
     private static void answer(
             SimulatedNetwork.Connection by, PendingRequests.RequestId id, int status, String text) {
-        var record = new Codec.Out(FleetRecords.ANSWER);
+        var record = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(record);
         by.answer(record.i32(status).text(text).bytes());
     }
 
-    void onAnswer(SimulatedNetwork.Connection by, Codec.In in) {
+    void onAnswer(SimulatedNetwork.Connection by, RecordReader in) {
         remote.answered(PendingRequests.RequestId.read(in), by, in.i32(), in.text());
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/Process.java
@@ -8,12 +8,13 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import martenloom.common.codec.Codec;
-import martenloom.common.error.Fault;
-import martenloom.common.fleet.FleetRecords;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.duty.DutyService;
-import martenloom.core.state.CoreState;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.error.MartenloomException;
+import martenloom.common.fleet.RecordType;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.lease.RoleLeaseService;
+import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
 
 /**
@@ -37,12 +38,12 @@
     private final Machine machine;
     private final Environment environment;
     private final VersionedStore disk;
-    private final ChainCore chain;
+    private final ChainMember chain;
     private final OrderForwarder orders;
     private final LeaseForwarder leases;
-    private final DutyService duties;
+    private final RoleLeaseService duties;
     private final Set<String> dials = new TreeSet<>();
-    private final Deque<ChainCore.Store> stores = new ArrayDeque<>();
+    private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
     private final Map<Object, Long> readyAtUs = new IdentityHashMap<>();
     private final long startedUs;
     private boolean running = true;
@@ -57,18 +58,18 @@
         startedUs = nowUs();
         disk = new VersionedStore(machine.disk());
         var seeds = environment.seeds();
-        var kept = disk.load().map(ChainCore.MemberState::of);
+        var kept = disk.load().map(ChainMember.MemberState::of);
         if (kept.isEmpty() && bootstrap && seeds.contains(address())) {
             kept =
                     Optional.of(
-                            new ChainCore.MemberState(
-                                    ChainCore.Ballot.ZERO,
-                                    ChainCore.Ballot.ZERO,
-                                    CoreState.founded(seeds)));
+                            new ChainMember.MemberState(
+                                    ChainMember.Ballot.ZERO,
+                                    ChainMember.Ballot.ZERO,
+                                    ClusterState.founded(seeds)));
             disk.keep(kept.get().bytes());
         }
         chain =
-                new ChainCore(
+                new ChainMember(
                         address(),
                         environment.disks().any(),
                         kept,
@@ -76,7 +77,7 @@
                         nowUs());
         orders = new OrderForwarder(this, environment.disks().any());
         duties =
-                new DutyService(
+                new RoleLeaseService(
                         chain,
                         (change, reply) -> orders.askHere(change, reply::accept),
                         this::nowUs);
@@ -92,7 +93,7 @@
         return machine.address();
     }
 
-    ChainCore chain() {
+    ChainMember chain() {
         return chain;
     }
 
@@ -157,7 +158,7 @@
 
     /** Members make themselves known to those they have dialed. */
     private void hello() {
-        var record = new Codec.Out(FleetRecords.HELLO).text(address()).bytes();
+        var record = new RecordWriter(RecordType.HELLO).text(address()).bytes();
         dials.forEach(other -> environment.network().send(this, other, record));
         after(HELLO_US, this::hello);
     }
@@ -166,21 +167,21 @@
     void onConnected(String other) {
         environment
                 .network()
-                .send(this, other, new Codec.Out(FleetRecords.HELLO).text(address()).bytes());
+                .send(this, other, new RecordWriter(RecordType.HELLO).text(address()).bytes());
     }
 
     void onRecord(SimulatedNetwork.Connection by, byte[] record) {
-        var in = new Codec.In(record, true);
-        switch (in.type) {
-            case FleetRecords.HELLO -> {
+        var in = new RecordReader(record, true);
+        switch (in.type()) {
+            case RecordType.HELLO -> {
                 dial(in.text());
-                by.answer(new Codec.Out(FleetRecords.HEARD).texts(members()).bytes());
+                by.answer(new RecordWriter(RecordType.KNOWN_PEERS).texts(members()).bytes());
             }
-            case FleetRecords.HEARD -> in.texts().forEach(this::dial);
-            case FleetRecords.ASK -> orders.onAsk(by, in);
-            case FleetRecords.ANSWER -> orders.onAnswer(by, in);
-            case FleetRecords.DUTY_WANT -> leases.onWant(by, in);
-            case FleetRecords.DUTY_GRANT -> leases.onGrant(by, in);
+            case RecordType.KNOWN_PEERS -> in.texts().forEach(this::dial);
+            case RecordType.ORDER_REQUEST -> orders.onAsk(by, in);
+            case RecordType.ORDER_RESPONSE -> orders.onAnswer(by, in);
+            case RecordType.LEASE_REQUEST -> leases.onWant(by, in);
+            case RecordType.LEASE_GRANT -> leases.onGrant(by, in);
             default -> chain.onRecord(nowUs(), by.peerOf(this).address(), record);
         }
     }
@@ -220,14 +221,14 @@
             return;
         }
         var urgent = nowUs() - leaveSinceUs >= LEAVE_URGENT_US;
-        var urgency = urgent ? CoreState.LEAVE_NOW : CoreState.LEAVE_SOON;
-        var order = new CoreState.Change(CoreState.Act.LEAVE, urgency, address(), "");
+        var urgency = urgent ? ClusterState.LEAVE_NOW : ClusterState.LEAVE_SOON;
+        var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, address(), "");
         orders.forward(order, (status, text) -> leaveTaken |= status == 200);
         after(LEAVE_AGAIN_US, () -> leaveStep(end));
     }
 
     private boolean mayEnd() {
-        var told = leaveTaken || chain.mode() == ChainCore.Mode.LEARNING;
+        var told = leaveTaken || chain.mode() == ChainMember.Mode.LEARNING;
         return told && chain.released(nowUs());
     }
 
@@ -237,7 +238,7 @@
      * An order of a caller, as the control API takes it: tried again for a while when there is no
      * head.
      */
-    void onOrder(CoreState.Change change, Reply reply) {
+    void onOrder(ClusterState.Change change, Reply reply) {
         if (leaving) {
             reply.accept(Reply.UNAVAILABLE, "this daemon is leaving");
             return;
@@ -245,14 +246,14 @@
         order(chain.committed().accepted(change), nowUs(), reply);
     }
 
-    private void order(CoreState.Change change, long sinceUs, Reply reply) {
+    private void order(ClusterState.Change change, long sinceUs, Reply reply) {
         orders.forward(
                 change,
                 (status, text) -> {
                     if (status == Reply.UNAVAILABLE && nowUs() - sinceUs < API_PATIENCE_US) {
                         after(API_PAUSE_US, () -> order(change, sinceUs, reply));
                     } else {
-                        var unclear = status == CoreState.STALE_ORDER;
+                        var unclear = status == ClusterState.STALE_ORDER;
                         reply.accept(unclear ? Reply.UNAVAILABLE : status, text);
                     }
                 });
@@ -282,20 +283,20 @@
         }
     }
 
-    private void carryOut(ChainCore.Command command) {
-        if (command instanceof ChainCore.Send send) {
+    private void carryOut(ChainMember.Command command) {
+        if (command instanceof ChainMember.Send send) {
             send(send.to(), send.record());
-        } else if (command instanceof ChainCore.Store store) {
+        } else if (command instanceof ChainMember.Store store) {
             stores.add(store);
             if (stores.size() == 1) {
                 beginStore();
             }
-        } else if (command instanceof ChainCore.Answer answer) {
+        } else if (command instanceof ChainMember.Answer answer) {
             if (answer.status() == 200) {
                 environment.invariants().acknowledged(chain.view(), address(), startedUs);
             }
             orders.onChainAnswer(answer);
-        } else if (command instanceof ChainCore.Committed committed) {
+        } else if (command instanceof ChainMember.Committed committed) {
             environment.invariants().committed(address(), committed.state());
         }
     }
@@ -318,7 +319,7 @@
         var store = stores.peek();
         try {
             disk.keep(store.memberState().bytes());
-        } catch (Fault refused) {
+        } catch (MartenloomException refused) {
             environment.agenda().after(DISK_RETRY_US, this::finishStore);
             return;
         }
@@ -338,7 +339,7 @@
         machine.disk().endAfter(random.below(MOST_DISK_STEPS));
         try {
             disk.keep(stores.peek().memberState().bytes());
-        } catch (SimulatedDisk.Ended | Fault unfinished) {
+        } catch (SimulatedDisk.Ended | MartenloomException unfinished) {
             // This is what was to be brought about: the write stays as it is.
         }
     }
--- a/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.regex.Pattern;
-import martenloom.common.error.Fault;
+import martenloom.common.error.StorageException;
 import martenloom.core.storage.VersionedStore;
 
 /**
@@ -160,7 +160,7 @@
         step();
         file.content = torn(content);
         if (full) {
-            throw Fault.here(Fault.Code.DISK, "write " + name, "no space is left");
+            throw new StorageException("write " + name, "no space is left");
         }
         step();
         file.content = content.clone();
--- a/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
+++ b/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.util.List;
-import martenloom.core.state.CoreState;
-import martenloom.core.state.CoreState.Act;
-import martenloom.core.state.CoreState.Change;
+import martenloom.core.state.ClusterState;
+import martenloom.core.state.ClusterState.Act;
+import martenloom.core.state.ClusterState.Change;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
@@ -16,7 +16,7 @@
     private final ConfigurationHistory configurations = new ConfigurationHistory();
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
-    private CoreState state = CoreState.founded(List.of("a"));
+    private ClusterState state = ClusterState.founded(List.of("a"));
 
     private static void breaks(Invariant invariant, Executable step) {
         assertEquals(invariant, assertThrows(Violation.class, step).invariant());
@@ -98,10 +98,12 @@
         var before = state;
         commit(new Change(Act.DUTY, 0, "k", "x"));
         leases.onNext(before, state);
-        breaks(Invariant.FENCED_LEASE, () -> leases.onNext(CoreState.founded(List.of()), twice()));
+        breaks(
+                Invariant.FENCED_LEASE,
+                () -> leases.onNext(ClusterState.founded(List.of()), twice()));
     }
 
-    private CoreState twice() {
+    private ClusterState twice() {
         commit(new Change(Act.DUTY, 1, "k", "y"));
         return state;
     }
