--- /dev/null
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
@@ -0,0 +1,147 @@
+package martenloom.core.chain;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import martenloom.core.golden.GoldenFile;
+import martenloom.core.state.CoreState;
+import org.junit.jupiter.api.Test;
+
+/** Holds the wire form of every message between members of the chain. */
+final class ChainMessageGoldenTest {
+    private static final String MESSAGES = "chain-messages.txt";
+    private static final ChainCore.Ballot OLDER = new ChainCore.Ballot(11, "10.0.0.1");
+    private static final ChainCore.Ballot NEWER = new ChainCore.Ballot(12, "10.1.0.1");
+    private static final List<String> CHAIN = List.of("10.1.0.1", "10.0.0.1", "10.2.0.1");
+    private static final long EDITION = 5_000_000_001L;
+    private static final byte[] STATE = CoreState.founded(CHAIN).bytes();
+    private static final byte[] NO_STATE = {};
+
+    /** Each message by its name in the recorded file. */
+    private static Map<String, ChainMessage> messages() {
+        var messages = new LinkedHashMap<String, ChainMessage>();
+        messages.put("prepare", new ChainMessage.Prepare(NEWER, OLDER, EDITION, OLDER));
+        messages.put(
+                "prepare, nothing released",
+                new ChainMessage.Prepare(NEWER, OLDER, EDITION, ChainCore.Ballot.ZERO));
+        messages.put("answer to prepare, refused", new ChainMessage.Refused(NEWER, 13));
+        messages.put(
+                "answer to prepare, promised",
+                new ChainMessage.Promised(NEWER, false, OLDER, EDITION, STATE));
+        messages.put(
+                "answer to prepare, promised by a leaver without the state",
+                new ChainMessage.Promised(NEWER, true, OLDER, EDITION, NO_STATE));
+        messages.put(
+                "answer to prepare, learner",
+                new ChainMessage.Learner(NEWER, 0x8123_4567_89ab_cdefL));
+        messages.put("pass", new ChainMessage.Pass(view(), OLDER, List.of(), EDITION, STATE));
+        messages.put(
+                "pass with learners and holders",
+                new ChainMessage.Pass(
+                        viewWithLearners(),
+                        OLDER,
+                        List.of("10.0.0.1", "10.2.0.1"),
+                        EDITION,
+                        STATE));
+        messages.put(
+                "pass without the state",
+                new ChainMessage.Pass(view(), OLDER, List.of("10.2.0.1"), EDITION, NO_STATE));
+        messages.put("step", new ChainMessage.Step(view(), EDITION, change()));
+        messages.put(
+                "step with learners", new ChainMessage.Step(viewWithLearners(), EDITION, change()));
+        messages.put("answer to pass", new ChainMessage.PassAck(NEWER, EDITION));
+        messages.put("answer to pass, refused", new ChainMessage.Nack(OLDER, 12));
+        messages.put("heartbeat", new ChainMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000));
+        messages.put("answer to heartbeat", new ChainMessage.HeartbeatAck(NEWER, 77));
+        messages.put("news", new ChainMessage.News(NEWER, CHAIN, EDITION, 1_000_000));
+        messages.put("answer to news", new ChainMessage.Here(13));
+        messages.put("pull", new ChainMessage.Pull(EDITION));
+        messages.put("answer to pull", new ChainMessage.Snapshot(STATE));
+        messages.put("handover", new ChainMessage.Handover(NEWER));
+        return messages;
+    }
+
+    private static ChainMessage.View view() {
+        return new ChainMessage.View(NEWER, CHAIN, Map.of());
+    }
+
+    private static ChainMessage.View viewWithLearners() {
+        var learners = new TreeMap<String, Long>();
+        learners.put("10.0.0.1", 9L);
+        learners.put("10.2.0.1", -9L);
+        return new ChainMessage.View(NEWER, CHAIN, learners);
+    }
+
+    private static CoreState.Change change() {
+        return new CoreState.Change(CoreState.Act.SCALE, 4, "north/m", "1\nn2")
+                .stamped(1_234_567)
+                .surveyed("survey")
+                .versioned(6);
+    }
+
+    @Test
+    void everyKindOfMessageIsRecorded() {
+        assertEquals(
+                List.of(ChainMessage.class.getPermittedSubclasses()).stream()
+                        .collect(Collectors.toSet()),
+                messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
+    }
+
+    @Test
+    void messagesAreWrittenAsRecorded() {
+        var written = new LinkedHashMap<String, byte[]>();
+        messages().forEach((name, message) -> written.put(name, message.encode().bytes()));
+        GoldenFile.assertRecorded(GoldenFile.read(MESSAGES), written);
+    }
+
+    @Test
+    void recordedMessagesAreReadAndWrittenAgain() {
+        var recorded = GoldenFile.read(MESSAGES);
+        messages()
+                .forEach(
+                        (name, message) -> {
+                            var read = ChainMessage.decode(recorded.get(name)).orElseThrow();
+                            assertEquals(message.getClass(), read.getClass(), name);
+                            GoldenFile.assertSameBytes(
+                                    name, recorded.get(name), read.encode().bytes());
+                        });
+    }
+
+    @Test
+    void fieldsOfRecordedMessagesAreRead() {
+        assertEquals(new ChainMessage.Prepare(NEWER, OLDER, EDITION, OLDER), read("prepare"));
+        assertEquals(new ChainMessage.Refused(NEWER, 13), read("answer to prepare, refused"));
+        assertEquals(
+                new ChainMessage.Learner(NEWER, 0x8123_4567_89ab_cdefL),
+                read("answer to prepare, learner"));
+        var promised = (ChainMessage.Promised) read("answer to prepare, promised");
+        assertEquals(OLDER, promised.accepted());
+        assertEquals(EDITION, promised.edition());
+        assertArrayEquals(STATE, promised.state());
+        var pass = (ChainMessage.Pass) read("pass with learners and holders");
+        assertEquals(viewWithLearners(), pass.view());
+        assertEquals(List.of("10.0.0.1", "10.2.0.1"), pass.holders());
+        assertEquals(OLDER, pass.basis());
+        assertArrayEquals(STATE, pass.state());
+        var step = (ChainMessage.Step) read("step with learners");
+        assertEquals(viewWithLearners(), step.view());
+        assertEquals(EDITION, step.edition());
+        assertEquals("north/m", step.change().subject);
+        assertEquals(6, step.change().version);
+        assertEquals(
+                new ChainMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000),
+                read("heartbeat"));
+        assertEquals(new ChainMessage.News(NEWER, CHAIN, EDITION, 1_000_000), read("news"));
+        assertEquals(new ChainMessage.Nack(OLDER, 12), read("answer to pass, refused"));
+        assertEquals(new ChainMessage.Handover(NEWER), read("handover"));
+    }
+
+    private static ChainMessage read(String name) {
+        return ChainMessage.decode(GoldenFile.read(MESSAGES).get(name)).orElseThrow();
+    }
+}
