--- /dev/null
+++ b/core/src/test/java/martenloom/core/FleetMemoryGoldenTest.java
@@ -0,0 +1,134 @@
+package martenloom.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import martenloom.common.clock.Clocks;
+import martenloom.common.codec.Codec;
+import martenloom.common.fleet.FleetRecords;
+import martenloom.common.settings.Settings;
+import martenloom.core.golden.GoldenFile;
+import martenloom.core.registry.Registry;
+import martenloom.core.storage.VersionedStore;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * Holds what a core daemon takes from the recorded note of replicas beside its state, and that it
+ * writes the same note again. The ages and remainders in a row are left out of that, since they are
+ * counted from the moment of the writing, and whether it is silent, which a restart forgets.
+ */
+final class FleetMemoryGoldenTest {
+    private static final String NOTE = "replicas";
+    private static final int BEAT_MS = 300;
+    private static final long COLD_US = 600_000;
+    private static final long FLUSH_MS = 10_000;
+    private static final Settings SETTINGS =
+            Settings.parse(
+                    """
+                    NodeName = "core-1"
+                    IpAddress = "10.0.0.1"
+                    Zone = "north-a"
+                    Region = "north"
+                    InternalPortRange = [7000, 7100]
+                    SeedNodes = []
+                    HeartbeatIntervalMs = 300
+                    Serves = []
+                    [Zones]
+                    north-a = "north"
+                    [ListenAddresses]
+                    """);
+
+    @TempDir private Path folder;
+
+    private final Registry registry = new Registry(BEAT_MS * 1000L);
+
+    private VersionedStore store() {
+        return new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
+    }
+
+    private void putRecordedNote() throws IOException {
+        Files.write(folder.resolve(NOTE), GoldenFile.read("folder-written.txt").get(NOTE));
+    }
+
+    /** The bytes of a note with all ages and remainders at 0 and no replica silent. */
+    private static byte[] timeless(byte[] note) {
+        var in = new Codec.In(note, false);
+        var out = new Codec.Out().i32(in.i32()).i32(in.i32());
+        var replicas = in.list(x -> FleetRecords.Replica.read(x, 0));
+        for (var replica : replicas) {
+            replica.warmAtUs = 0;
+            replica.heardUs = 0;
+            replica.silent = false;
+            if (replica.leavesAtUs != Long.MAX_VALUE) {
+                replica.leavesAtUs = 0;
+            }
+        }
+        return out.list(replicas, (o, replica) -> replica.write(o, 0)).bytes();
+    }
+
+    @Test
+    void theRecordedNoteIsTakenAsItStands() throws IOException {
+        putRecordedNote();
+        var beforeUs = Clocks.nowUs();
+        var memory = new FleetMemory(SETTINGS, store(), registry);
+        var afterUs = Clocks.nowUs();
+        assertTrue(memory.restored());
+        assertEquals(17, memory.mostEdges());
+        assertEquals(3, memory.mostHomes());
+        var replicas =
+                registry.replicas().stream()
+                        .collect(Collectors.toMap(replica -> replica.id, replica -> replica));
+        assertEquals(
+                List.of("draining", "ended", "never-heard", "running", "silent", "warming"),
+                registry.replicas().stream().map(replica -> replica.id).toList());
+        assertRunning(replicas, beforeUs, afterUs);
+        assertTrue(replicas.get("draining").draining);
+        assertFalse(replicas.get("draining").gone);
+        assertTrue(replicas.get("draining").leavesAtUs >= beforeUs + 28_000_000);
+        assertTrue(replicas.get("draining").leavesAtUs <= afterUs + 28_000_000);
+        assertFalse(replicas.get("silent").silent, "a restart forgets that");
+        assertTrue(replicas.get("warming").warmAtUs >= beforeUs + 7_000_000);
+        assertTrue(replicas.get("ended").gone);
+        assertEquals(42, replicas.get("ended").seq);
+        assertTrue(replicas.get("ended").heardUs <= afterUs - 2_000_000, "its age is kept");
+        assertTrue(replicas.get("never-heard").gone);
+        assertEquals("", replicas.get("never-heard").service);
+    }
+
+    private static void assertRunning(
+            Map<String, FleetRecords.Replica> replicas, long beforeUs, long afterUs) {
+        var running = replicas.get("running");
+        assertEquals("s", running.service);
+        assertEquals("10.0.0.9:8080", running.address);
+        assertEquals("north-a", running.zone);
+        assertEquals(8, running.capacity);
+        assertEquals(41, running.seq);
+        assertFalse(running.draining);
+        assertFalse(running.gone);
+        assertEquals(Long.MAX_VALUE, running.leavesAtUs);
+        assertTrue(running.heardUs >= beforeUs && running.heardUs <= afterUs);
+        assertEquals(running.heardUs + COLD_US, running.warmAtUs, "cold until its next beat");
+    }
+
+    @Test
+    void theNoteIsWrittenAgainWithTheSameContent() throws IOException {
+        putRecordedNote();
+        var store = store();
+        var recorded = store.note(NOTE).orElseThrow();
+        var memory = new FleetMemory(SETTINGS, store, registry);
+        Files.delete(folder.resolve(NOTE));
+        memory.keep();
+        store.flush(FLUSH_MS);
+        var written = store().note(NOTE).orElseThrow();
+        assertEquals(recorded.length, written.length);
+        GoldenFile.assertSameBytes(NOTE, timeless(recorded), timeless(written));
+    }
+}
