--- a/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
+import java.util.Base64;
 import java.util.EnumSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -44,48 +46,109 @@
                 FilledState.build());
     }
 
-    /** Each act by its name in the recorded file, in the order of the numbers on the wire. */
-    private static Map<String, CoreState.Act> acts() {
-        var acts = new LinkedHashMap<String, CoreState.Act>();
-        acts.put("replace configuration", CoreState.Act.REPLACE);
-        acts.put("update configuration", CoreState.Act.UPDATE);
-        acts.put("start evacuation", CoreState.Act.EVAC_START);
-        acts.put("finish evacuation", CoreState.Act.EVAC_FINISH);
-        acts.put("grant duty", CoreState.Act.DUTY);
-        acts.put("add to roster", CoreState.Act.ROSTER);
-        acts.put("read configuration", CoreState.Act.READ);
-        acts.put("submit job", CoreState.Act.JOB_SUBMIT);
-        acts.put("get job", CoreState.Act.JOB_GET);
-        acts.put("list jobs", CoreState.Act.JOB_LIST);
-        acts.put("get result of job", CoreState.Act.JOB_RESULT);
-        acts.put("confirm result of job", CoreState.Act.JOB_CONFIRM);
-        acts.put("cancel job", CoreState.Act.JOB_CANCEL);
-        acts.put("start job", CoreState.Act.JOB_START);
-        acts.put("keep part of result of job", CoreState.Act.JOB_KEEP);
-        acts.put("finish job", CoreState.Act.JOB_DONE);
-        acts.put("give job back", CoreState.Act.JOB_BACK);
-        acts.put("advance clock of jobs", CoreState.Act.JOB_CLOCK);
-        acts.put("scale", CoreState.Act.SCALE);
-        acts.put("place", CoreState.Act.PLACE);
-        acts.put("remove from roster", CoreState.Act.ROSTER_OUT);
-        acts.put("leave", CoreState.Act.LEAVE);
-        return acts;
+    /** Each change as the daemons send it, by its name in the recorded file. */
+    private static Map<String, CoreState.Change> changes() {
+        var changes = new LinkedHashMap<String, CoreState.Change>();
+        changes.put("replace configuration", change(CoreState.Act.REPLACE, 7, "", JSON));
+        changes.put("update configuration", change(CoreState.Act.UPDATE, 8, "", JSON));
+        changes.put(
+                "start evacuation",
+                change(CoreState.Act.EVAC_START, 0, "north-a", "").versioned(3));
+        changes.put(
+                "finish evacuation",
+                change(CoreState.Act.EVAC_FINISH, 0, "north-a", "").versioned(4));
+        changes.put("grant lease", change(CoreState.Act.DUTY, 5, "scale/north", "10.1.2.2#9"));
+        changes.put("add member", change(CoreState.Act.ROSTER, 0, "10.3.0.1", ""));
+        changes.put("read configuration", change(CoreState.Act.READ, 0, "", ""));
+        changes.put("submit job", change(CoreState.Act.JOB_SUBMIT, 0, "job-1", job()));
+        changes.put("get job", change(CoreState.Act.JOB_GET, 0, "job-1", ""));
+        changes.put("list jobs", change(CoreState.Act.JOB_LIST, 0, "", ""));
+        changes.put("get result of job", change(CoreState.Act.JOB_RESULT, 0, "job-1", ""));
+        changes.put("confirm result of job", change(CoreState.Act.JOB_CONFIRM, 0, "job-1", ""));
+        changes.put("cancel job", change(CoreState.Act.JOB_CANCEL, 0, "job-1", ""));
+        changes.put(
+                "start job", change(CoreState.Act.JOB_START, 6, "job-1", "10.1.2.2").versioned(2));
+        changes.put(
+                "keep part of result of job",
+                change(
+                                CoreState.Act.JOB_KEEP,
+                                6,
+                                "job-1",
+                                body(new Codec.Out().text("event-3").i32(10).blob(PART)))
+                        .versioned(3));
+        changes.put(
+                "finish job",
+                change(
+                                CoreState.Act.JOB_DONE,
+                                6,
+                                "job-1",
+                                body(new Codec.Out().i32(200).i32(15).blob(PART)))
+                        .versioned(3));
+        changes.put(
+                "give job back",
+                change(
+                                CoreState.Act.JOB_BACK,
+                                6,
+                                "job-1",
+                                body(new Codec.Out().u8(1).text("it was let go, süd")))
+                        .versioned(3));
+        changes.put("advance clock of jobs", change(CoreState.Act.JOB_CLOCK, 0, "", ""));
+        changes.put(
+                "scale to a count",
+                change(CoreState.Act.SCALE, 6, "north/m", "2\nn2\nn3")
+                        .surveyed(SURVEY)
+                        .versioned(11));
+        changes.put(
+                "scale to all",
+                change(CoreState.Act.SCALE, 6, "north/m", "all").surveyed(SURVEY).versioned(12));
+        changes.put(
+                "unload model",
+                change(CoreState.Act.PLACE, 0, "south/m", "unload").surveyed(SURVEY).versioned(1));
+        changes.put(
+                "load model",
+                change(CoreState.Act.PLACE, 0, "south/m", "load").surveyed(SURVEY).versioned(2));
+        changes.put("remove member", change(CoreState.Act.ROSTER_OUT, 0, "10.3.0.1", ""));
+        changes.put(
+                "leave soon", change(CoreState.Act.LEAVE, CoreState.LEAVE_SOON, "10.2.0.1", ""));
+        changes.put("leave now", change(CoreState.Act.LEAVE, CoreState.LEAVE_NOW, "10.2.0.1", ""));
+        changes.put(
+                "change that nobody accepted",
+                new CoreState.Change(CoreState.Act.REPLACE, 0, "", JSON));
+        return changes;
     }
 
-    private static CoreState.Change filledChange(String name, CoreState.Act act) {
-        return new CoreState.Change(act, 1_001, "subject of " + name, "body of\n" + name + " é")
-                .stamped(1_234_567_890_123L)
-                .surveyed("survey of " + name)
-                .versioned(1L << 40);
+    private static final String JSON = "{\"Revision\":9,\"Routes\":[],\"Name\":\"süd\"}";
+    private static final String SURVEY = "m north n1 n2 n3\nm south s1";
+    private static final byte[] PART = "a part of a result".getBytes(StandardCharsets.UTF_8);
+    private static final long JOB_CLOCK_US = 1_234_567_890_123L;
+
+    private static CoreState.Change change(
+            CoreState.Act act, long base, String subject, String body) {
+        return new CoreState.Change(act, base, subject, body).stamped(JOB_CLOCK_US);
+    }
+
+    private static String body(Codec.Out fields) {
+        return Base64.getEncoder().encodeToString(fields.bytes());
+    }
+
+    /** A submitted job as the control API writes it. */
+    private static String job() {
+        var job = new Job();
+        job.id = "job-1";
+        job.region = "north";
+        job.host = "h.example";
+        job.path = "/a/b";
+        job.body = PART;
+        job.dueUs = 60_000_000;
+        var fields = new Codec.Out();
+        job.write(fields);
+        return body(fields);
     }
 
     private static Map<String, byte[]> writtenChanges() {
-        var changes = new LinkedHashMap<String, byte[]>();
-        acts().forEach((name, act) -> changes.put(name, bytes(filledChange(name, act))));
-        changes.put(
-                "change that nobody accepted",
-                bytes(new CoreState.Change(CoreState.Act.REPLACE, 0, "", "")));
-        return changes;
+        var written = new LinkedHashMap<String, byte[]>();
+        changes().forEach((name, change) -> written.put(name, bytes(change)));
+        return written;
     }
 
     private static byte[] bytes(CoreState.Change change) {
@@ -157,30 +220,33 @@
 
     @Test
     void changesAreWrittenAsRecorded() {
-        assertEquals(List.of(CoreState.Act.values()), List.copyOf(acts().values()));
+        var acts = EnumSet.noneOf(CoreState.Act.class);
+        changes().values().forEach(change -> acts.add(change.act));
+        assertEquals(EnumSet.allOf(CoreState.Act.class), acts);
         GoldenFile.assertRecorded(GoldenFile.read(CHANGES), writtenChanges());
     }
 
     @Test
     void recordedChangesAreReadAndWrittenAgain() {
-        var recorded = GoldenFile.read(CHANGES);
-        recorded.forEach(
-                (name, bytes) ->
-                        GoldenFile.assertSameBytes(
-                                name,
-                                bytes,
-                                bytes(CoreState.Change.read(new Codec.In(bytes, false)))));
-        acts().forEach(
-                        (name, act) -> {
-                            var in = new Codec.In(recorded.get(name), false);
-                            var change = CoreState.Change.read(in);
-                            assertEquals(act, change.act);
-                            assertEquals(1_001, change.base);
-                            assertEquals("subject of " + name, change.subject);
-                            assertEquals("body of\n" + name + " é", change.body);
-                            assertEquals(1_234_567_890_123L, change.atUs);
-                            assertEquals("survey of " + name, change.survey);
-                            assertEquals(1L << 40, change.version);
-                        });
+        GoldenFile.read(CHANGES)
+                .forEach(
+                        (name, bytes) ->
+                                GoldenFile.assertSameBytes(
+                                        name,
+                                        bytes,
+                                        bytes(CoreState.Change.read(new Codec.In(bytes, false)))));
+    }
+
+    @Test
+    void aRecordedScaleOrderHasItsFields() {
+        var recorded = GoldenFile.read(CHANGES).get("scale to a count");
+        var change = CoreState.Change.read(new Codec.In(recorded, false));
+        assertEquals(CoreState.Act.SCALE, change.act);
+        assertEquals(6, change.base);
+        assertEquals("north/m", change.subject);
+        assertEquals("2\nn2\nn3", change.body);
+        assertEquals(JOB_CLOCK_US, change.atUs);
+        assertEquals(SURVEY, change.survey);
+        assertEquals(11, change.version);
     }
 }
