--- a/core/src/test/java/martenloom/core/FleetMemoryGoldenTest.java
+++ b/core/src/test/java/martenloom/core/FleetMemoryGoldenTest.java
@@ -11,8 +11,9 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
 import martenloom.core.golden.GoldenFile;
 import martenloom.core.registry.Registry;
@@ -60,9 +61,9 @@
 
     /** The bytes of a note with all ages and remainders at 0 and no replica silent. */
     private static byte[] timeless(byte[] note) {
-        var in = new Codec.In(note, false);
-        var out = new Codec.Out().i32(in.i32()).i32(in.i32());
-        var replicas = in.list(x -> FleetRecords.Replica.read(x, 0));
+        var in = new RecordReader(note, false);
+        var out = new RecordWriter().i32(in.i32()).i32(in.i32());
+        var replicas = in.list(x -> ReplicaRecord.read(x, 0));
         for (var replica : replicas) {
             replica.warmAtUs = 0;
             replica.heardUs = 0;
@@ -104,7 +105,7 @@
     }
 
     private static void assertRunning(
-            Map<String, FleetRecords.Replica> replicas, long beforeUs, long afterUs) {
+            Map<String, ReplicaRecord> replicas, long beforeUs, long afterUs) {
         var running = replicas.get("running");
         assertEquals("s", running.service);
         assertEquals("10.0.0.9:8080", running.address);
--- a/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import martenloom.core.golden.GoldenFile;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
 /** Holds the wire form of every message between members of the chain. */
 final class ChainMessageGoldenTest {
     private static final String MESSAGES = "chain-messages.txt";
-    private static final ChainCore.Ballot OLDER = new ChainCore.Ballot(11, "10.0.0.1");
-    private static final ChainCore.Ballot NEWER = new ChainCore.Ballot(12, "10.1.0.1");
+    private static final ChainMember.Ballot OLDER = new ChainMember.Ballot(11, "10.0.0.1");
+    private static final ChainMember.Ballot NEWER = new ChainMember.Ballot(12, "10.1.0.1");
     private static final List<String> CHAIN = List.of("10.1.0.1", "10.0.0.1", "10.2.0.1");
     private static final long EDITION = 5_000_000_001L;
-    private static final byte[] STATE = CoreState.founded(CHAIN).bytes();
+    private static final byte[] STATE = ClusterState.founded(CHAIN).bytes();
     private static final byte[] NO_STATE = {};
 
     /** Each message by its name in the recorded file. */
@@ -28,7 +28,7 @@
         messages.put("prepare", new ChainMessage.Prepare(NEWER, OLDER, EDITION, OLDER));
         messages.put(
                 "prepare, nothing released",
-                new ChainMessage.Prepare(NEWER, OLDER, EDITION, ChainCore.Ballot.ZERO));
+                new ChainMessage.Prepare(NEWER, OLDER, EDITION, ChainMember.Ballot.ZERO));
         messages.put("answer to prepare, refused", new ChainMessage.Refused(NEWER, 13));
         messages.put(
                 "answer to prepare, promised",
@@ -77,8 +77,8 @@
         return new ChainMessage.View(NEWER, CHAIN, learners);
     }
 
-    private static CoreState.Change change() {
-        return new CoreState.Change(CoreState.Act.SCALE, 4, "north/m", "1\nn2")
+    private static ClusterState.Change change() {
+        return new ClusterState.Change(ClusterState.Act.SCALE, 4, "north/m", "1\nn2")
                 .stamped(1_234_567)
                 .surveyed("survey")
                 .versioned(6);
--- a/core/src/test/java/martenloom/core/golden/FilledState.java
+++ b/core/src/test/java/martenloom/core/golden/FilledState.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.List;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import martenloom.routing.placement.Placement;
 
 /**
@@ -34,11 +34,11 @@
             """;
 
     private final Placement running = new Placement();
-    private CoreState state = CoreState.founded(List.of("10.0.0.1", "10.1.0.1", "10.2.0.1"));
+    private ClusterState state = ClusterState.founded(List.of("10.0.0.1", "10.1.0.1", "10.2.0.1"));
 
     private FilledState() {}
 
-    static CoreState build() {
+    static ClusterState build() {
         var filled = new FilledState();
         filled.members();
         filled.configuration();
@@ -50,29 +50,29 @@
     }
 
     private void members() {
-        order(CoreState.Act.ROSTER, 0, "10.3.0.1", "");
-        order(CoreState.Act.ROSTER, 0, "10.4.0.1", "");
-        order(CoreState.Act.ROSTER_OUT, 0, "10.4.0.1", "");
-        order(CoreState.Act.LEAVE, CoreState.LEAVE_SOON, "10.2.0.1", "");
-        order(CoreState.Act.LEAVE, CoreState.LEAVE_NOW, "10.3.0.1", "");
+        order(ClusterState.Act.ROSTER, 0, "10.3.0.1", "");
+        order(ClusterState.Act.ROSTER, 0, "10.4.0.1", "");
+        order(ClusterState.Act.ROSTER_OUT, 0, "10.4.0.1", "");
+        order(ClusterState.Act.LEAVE, ClusterState.LEAVE_SOON, "10.2.0.1", "");
+        order(ClusterState.Act.LEAVE, ClusterState.LEAVE_NOW, "10.3.0.1", "");
     }
 
     private void configuration() {
-        order(CoreState.Act.REPLACE, 0, "", CONFIGURATION);
-        order(CoreState.Act.UPDATE, 1, "", "{\"Revision\":2,\"Upsert\":{\"Note\":\"second\"}}");
+        order(ClusterState.Act.REPLACE, 0, "", CONFIGURATION);
+        order(ClusterState.Act.UPDATE, 1, "", "{\"Revision\":2,\"Upsert\":{\"Note\":\"second\"}}");
     }
 
     private void duties() {
-        order(CoreState.Act.DUTY, 0, "jobs/north", "10.0.2.1#7");
-        order(CoreState.Act.DUTY, 0, "scale/north", "10.0.2.1#7");
-        order(CoreState.Act.DUTY, 0, "scale/south", "10.1.2.1#8");
-        order(CoreState.Act.DUTY, 1, "scale/south", "10.1.2.2#9");
+        order(ClusterState.Act.DUTY, 0, "jobs/north", "10.0.2.1#7");
+        order(ClusterState.Act.DUTY, 0, "scale/north", "10.0.2.1#7");
+        order(ClusterState.Act.DUTY, 0, "scale/south", "10.1.2.1#8");
+        order(ClusterState.Act.DUTY, 1, "scale/south", "10.1.2.2#9");
     }
 
     private void evacuations() {
-        order(CoreState.Act.EVAC_START, 0, "north-a", "");
-        order(CoreState.Act.EVAC_START, 0, "south-b", "");
-        order(CoreState.Act.EVAC_FINISH, 0, "south-b", "");
+        order(ClusterState.Act.EVAC_START, 0, "north-a", "");
+        order(ClusterState.Act.EVAC_START, 0, "south-b", "");
+        order(ClusterState.Act.EVAC_FINISH, 0, "south-b", "");
     }
 
     private void scales() {
@@ -82,11 +82,11 @@
         running.put("s", "south", "s1");
         running.put("s", "west", "w1");
         take(
-                new CoreState.Change(CoreState.Act.SCALE, GRANT, "north/m", "1\nn2\nn3")
+                new ClusterState.Change(ClusterState.Act.SCALE, GRANT, "north/m", "1\nn2\nn3")
                         .versioned(5)
                         .surveyed(running.text()));
-        order(CoreState.Act.PLACE, 0, "south/m", "unload");
-        order(CoreState.Act.PLACE, 0, "west/m", "load");
+        order(ClusterState.Act.PLACE, 0, "south/m", "unload");
+        order(ClusterState.Act.PLACE, 0, "west/m", "load");
     }
 
     private void jobs() {
@@ -100,27 +100,27 @@
         submit("job-cancelled", true, LONG_TIME_US);
         submit("job-expired", true, SHORT_TIME_US);
         run("job-back");
-        word(CoreState.Act.JOB_BACK, "job-back", new Codec.Out().u8(0).text("no room, süd"));
+        word(ClusterState.Act.JOB_BACK, "job-back", new RecordWriter().u8(0).text("no room, süd"));
         run("job-running");
-        word(CoreState.Act.JOB_KEEP, "job-running", kept("event-3", 0, "first part"));
+        word(ClusterState.Act.JOB_KEEP, "job-running", kept("event-3", 0, "first part"));
         run("job-done");
-        word(CoreState.Act.JOB_KEEP, "job-done", kept("event-4", 0, "first, "));
-        word(CoreState.Act.JOB_DONE, "job-done", done(7, "second"));
+        word(ClusterState.Act.JOB_KEEP, "job-done", kept("event-4", 0, "first, "));
+        word(ClusterState.Act.JOB_DONE, "job-done", done(7, "second"));
         run("job-confirmed");
-        word(CoreState.Act.JOB_DONE, "job-confirmed", done(0, "whole"));
-        atTime(CoreState.Act.JOB_CONFIRM, "job-confirmed", "", ENDED_AT_US);
+        word(ClusterState.Act.JOB_DONE, "job-confirmed", done(0, "whole"));
+        atTime(ClusterState.Act.JOB_CONFIRM, "job-confirmed", "", ENDED_AT_US);
         run("job-failed");
         word(
-                CoreState.Act.JOB_BACK,
+                ClusterState.Act.JOB_BACK,
                 "job-failed",
-                new Codec.Out().u8(RAN_AND_FAILED).text("status 500"));
+                new RecordWriter().u8(RAN_AND_FAILED).text("status 500"));
         run("job-uncertain");
         word(
-                CoreState.Act.JOB_BACK,
+                ClusterState.Act.JOB_BACK,
                 "job-uncertain",
-                new Codec.Out().u8(MAY_HAVE_RUN).text("link lost"));
-        atTime(CoreState.Act.JOB_CANCEL, "job-cancelled", "", ENDED_AT_US);
-        atTime(CoreState.Act.JOB_CLOCK, "", "", CLOCK_AT_US);
+                new RecordWriter().u8(MAY_HAVE_RUN).text("link lost"));
+        atTime(ClusterState.Act.JOB_CANCEL, "job-cancelled", "", ENDED_AT_US);
+        atTime(ClusterState.Act.JOB_CLOCK, "", "", CLOCK_AT_US);
     }
 
     private void submit(String id, boolean repeatable, long timeUs) {
@@ -136,48 +136,51 @@
         job.repeatable = repeatable;
         job.resumable = true;
         job.dueUs = timeUs;
-        var out = new Codec.Out();
+        var out = new RecordWriter();
         job.write(out);
-        atTime(CoreState.Act.JOB_SUBMIT, id, base64(out), SUBMITTED_AT_US);
+        atTime(ClusterState.Act.JOB_SUBMIT, id, base64(out), SUBMITTED_AT_US);
     }
 
     private void run(String id) {
         take(
-                new CoreState.Change(CoreState.Act.JOB_START, GRANT, id, "n1")
+                new ClusterState.Change(ClusterState.Act.JOB_START, GRANT, id, "n1")
                         .stamped(STARTED_AT_US)
                         .versioned(0));
     }
 
     /** A word of the holder of the duty about the first run of a job. */
-    private void word(CoreState.Act act, String id, Codec.Out body) {
-        take(new CoreState.Change(act, GRANT, id, base64(body)).stamped(ENDED_AT_US).versioned(1));
+    private void word(ClusterState.Act act, String id, RecordWriter body) {
+        take(
+                new ClusterState.Change(act, GRANT, id, base64(body))
+                        .stamped(ENDED_AT_US)
+                        .versioned(1));
     }
 
-    private static Codec.Out kept(String lastEvent, int from, String more) {
-        return new Codec.Out()
+    private static RecordWriter kept(String lastEvent, int from, String more) {
+        return new RecordWriter()
                 .text(lastEvent)
                 .i32(from)
                 .blob(more.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Codec.Out done(int from, String more) {
-        return new Codec.Out().i32(200).i32(from).blob(more.getBytes(StandardCharsets.UTF_8));
+    private static RecordWriter done(int from, String more) {
+        return new RecordWriter().i32(200).i32(from).blob(more.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String base64(Codec.Out out) {
+    private static String base64(RecordWriter out) {
         return Base64.getEncoder().encodeToString(out.bytes());
     }
 
-    private void atTime(CoreState.Act act, String subject, String body, long atUs) {
-        take(new CoreState.Change(act, 0, subject, body).stamped(atUs));
+    private void atTime(ClusterState.Act act, String subject, String body, long atUs) {
+        take(new ClusterState.Change(act, 0, subject, body).stamped(atUs));
     }
 
-    private void order(CoreState.Act act, long base, String subject, String body) {
-        var change = new CoreState.Change(act, base, subject, body).surveyed(running.text());
+    private void order(ClusterState.Act act, long base, String subject, String body) {
+        var change = new ClusterState.Change(act, base, subject, body).surveyed(running.text());
         take(state.accepted(change));
     }
 
-    private void take(CoreState.Change change) {
+    private void take(ClusterState.Change change) {
         var outcome = state.decide(change);
         assertEquals(200, outcome.status, change.act + ": " + outcome.text);
         state = outcome.next.orElseThrow();
--- a/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
@@ -11,10 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
-import martenloom.core.chain.ChainCore;
-import martenloom.core.state.CoreState;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -28,92 +29,99 @@
     /** Each state by its name in the recorded file. */
     private static Map<String, byte[]> writtenStates() {
         var states = new LinkedHashMap<String, byte[]>();
-        var founded = CoreState.founded(List.of("10.0.0.1", "10.1.0.1"));
+        var founded = ClusterState.founded(List.of("10.0.0.1", "10.1.0.1"));
         states.put("core state, founded", founded.bytes());
         states.put("core state, every part filled", FilledState.build().bytes());
         states.put(
                 "member state, founded",
-                new ChainCore.MemberState(ChainCore.Ballot.ZERO, ChainCore.Ballot.ZERO, founded)
+                new ChainMember.MemberState(
+                                ChainMember.Ballot.ZERO, ChainMember.Ballot.ZERO, founded)
                         .bytes());
         states.put("member state, every part filled", filledMember().bytes());
         return states;
     }
 
-    private static ChainCore.MemberState filledMember() {
-        return new ChainCore.MemberState(
-                new ChainCore.Ballot(12, "10.1.0.1"),
-                new ChainCore.Ballot(11, "10.0.0.1"),
+    private static ChainMember.MemberState filledMember() {
+        return new ChainMember.MemberState(
+                new ChainMember.Ballot(12, "10.1.0.1"),
+                new ChainMember.Ballot(11, "10.0.0.1"),
                 FilledState.build());
     }
 
     /** Each change as the daemons send it, by its name in the recorded file. */
-    private static Map<String, CoreState.Change> changes() {
-        var changes = new LinkedHashMap<String, CoreState.Change>();
-        changes.put("replace configuration", change(CoreState.Act.REPLACE, 7, "", JSON));
-        changes.put("update configuration", change(CoreState.Act.UPDATE, 8, "", JSON));
+    private static Map<String, ClusterState.Change> changes() {
+        var changes = new LinkedHashMap<String, ClusterState.Change>();
+        changes.put("replace configuration", change(ClusterState.Act.REPLACE, 7, "", JSON));
+        changes.put("update configuration", change(ClusterState.Act.UPDATE, 8, "", JSON));
         changes.put(
                 "start evacuation",
-                change(CoreState.Act.EVAC_START, 0, "north-a", "").versioned(3));
+                change(ClusterState.Act.EVAC_START, 0, "north-a", "").versioned(3));
         changes.put(
                 "finish evacuation",
-                change(CoreState.Act.EVAC_FINISH, 0, "north-a", "").versioned(4));
-        changes.put("grant lease", change(CoreState.Act.DUTY, 5, "scale/north", "10.1.2.2#9"));
-        changes.put("add member", change(CoreState.Act.ROSTER, 0, "10.3.0.1", ""));
-        changes.put("read configuration", change(CoreState.Act.READ, 0, "", ""));
-        changes.put("submit job", change(CoreState.Act.JOB_SUBMIT, 0, "job-1", job()));
-        changes.put("get job", change(CoreState.Act.JOB_GET, 0, "job-1", ""));
-        changes.put("list jobs", change(CoreState.Act.JOB_LIST, 0, "", ""));
-        changes.put("get result of job", change(CoreState.Act.JOB_RESULT, 0, "job-1", ""));
-        changes.put("confirm result of job", change(CoreState.Act.JOB_CONFIRM, 0, "job-1", ""));
-        changes.put("cancel job", change(CoreState.Act.JOB_CANCEL, 0, "job-1", ""));
+                change(ClusterState.Act.EVAC_FINISH, 0, "north-a", "").versioned(4));
+        changes.put("grant lease", change(ClusterState.Act.DUTY, 5, "scale/north", "10.1.2.2#9"));
+        changes.put("add member", change(ClusterState.Act.ROSTER, 0, "10.3.0.1", ""));
+        changes.put("read configuration", change(ClusterState.Act.READ, 0, "", ""));
+        changes.put("submit job", change(ClusterState.Act.JOB_SUBMIT, 0, "job-1", job()));
+        changes.put("get job", change(ClusterState.Act.JOB_GET, 0, "job-1", ""));
+        changes.put("list jobs", change(ClusterState.Act.JOB_LIST, 0, "", ""));
+        changes.put("get result of job", change(ClusterState.Act.JOB_RESULT, 0, "job-1", ""));
+        changes.put("confirm result of job", change(ClusterState.Act.JOB_CONFIRM, 0, "job-1", ""));
+        changes.put("cancel job", change(ClusterState.Act.JOB_CANCEL, 0, "job-1", ""));
         changes.put(
-                "start job", change(CoreState.Act.JOB_START, 6, "job-1", "10.1.2.2").versioned(2));
+                "start job",
+                change(ClusterState.Act.JOB_START, 6, "job-1", "10.1.2.2").versioned(2));
         changes.put(
                 "keep part of result of job",
                 change(
-                                CoreState.Act.JOB_KEEP,
+                                ClusterState.Act.JOB_KEEP,
                                 6,
                                 "job-1",
-                                body(new Codec.Out().text("event-3").i32(10).blob(PART)))
+                                body(new RecordWriter().text("event-3").i32(10).blob(PART)))
                         .versioned(3));
         changes.put(
                 "finish job",
                 change(
-                                CoreState.Act.JOB_DONE,
+                                ClusterState.Act.JOB_DONE,
                                 6,
                                 "job-1",
-                                body(new Codec.Out().i32(200).i32(15).blob(PART)))
+                                body(new RecordWriter().i32(200).i32(15).blob(PART)))
                         .versioned(3));
         changes.put(
                 "give job back",
                 change(
-                                CoreState.Act.JOB_BACK,
+                                ClusterState.Act.JOB_BACK,
                                 6,
                                 "job-1",
-                                body(new Codec.Out().u8(1).text("it was let go, süd")))
+                                body(new RecordWriter().u8(1).text("it was let go, süd")))
                         .versioned(3));
-        changes.put("advance clock of jobs", change(CoreState.Act.JOB_CLOCK, 0, "", ""));
+        changes.put("advance clock of jobs", change(ClusterState.Act.JOB_CLOCK, 0, "", ""));
         changes.put(
                 "scale to a count",
-                change(CoreState.Act.SCALE, 6, "north/m", "2\nn2\nn3")
+                change(ClusterState.Act.SCALE, 6, "north/m", "2\nn2\nn3")
                         .surveyed(SURVEY)
                         .versioned(11));
         changes.put(
                 "scale to all",
-                change(CoreState.Act.SCALE, 6, "north/m", "all").surveyed(SURVEY).versioned(12));
+                change(ClusterState.Act.SCALE, 6, "north/m", "all").surveyed(SURVEY).versioned(12));
         changes.put(
                 "unload model",
-                change(CoreState.Act.PLACE, 0, "south/m", "unload").surveyed(SURVEY).versioned(1));
+                change(ClusterState.Act.PLACE, 0, "south/m", "unload")
+                        .surveyed(SURVEY)
+                        .versioned(1));
         changes.put(
                 "load model",
-                change(CoreState.Act.PLACE, 0, "south/m", "load").surveyed(SURVEY).versioned(2));
-        changes.put("remove member", change(CoreState.Act.ROSTER_OUT, 0, "10.3.0.1", ""));
+                change(ClusterState.Act.PLACE, 0, "south/m", "load").surveyed(SURVEY).versioned(2));
+        changes.put("remove member", change(ClusterState.Act.ROSTER_OUT, 0, "10.3.0.1", ""));
+        changes.put(
+                "leave soon",
+                change(ClusterState.Act.LEAVE, ClusterState.LEAVE_SOON, "10.2.0.1", ""));
         changes.put(
-                "leave soon", change(CoreState.Act.LEAVE, CoreState.LEAVE_SOON, "10.2.0.1", ""));
-        changes.put("leave now", change(CoreState.Act.LEAVE, CoreState.LEAVE_NOW, "10.2.0.1", ""));
+                "leave now",
+                change(ClusterState.Act.LEAVE, ClusterState.LEAVE_NOW, "10.2.0.1", ""));
         changes.put(
                 "change that nobody accepted",
-                new CoreState.Change(CoreState.Act.REPLACE, 0, "", JSON));
+                new ClusterState.Change(ClusterState.Act.REPLACE, 0, "", JSON));
         return changes;
     }
 
@@ -122,12 +130,12 @@
     private static final byte[] PART = "a part of a result".getBytes(StandardCharsets.UTF_8);
     private static final long JOB_CLOCK_US = 1_234_567_890_123L;
 
-    private static CoreState.Change change(
-            CoreState.Act act, long base, String subject, String body) {
-        return new CoreState.Change(act, base, subject, body).stamped(JOB_CLOCK_US);
+    private static ClusterState.Change change(
+            ClusterState.Act act, long base, String subject, String body) {
+        return new ClusterState.Change(act, base, subject, body).stamped(JOB_CLOCK_US);
     }
 
-    private static String body(Codec.Out fields) {
+    private static String body(RecordWriter fields) {
         return Base64.getEncoder().encodeToString(fields.bytes());
     }
 
@@ -140,7 +148,7 @@
         job.path = "/a/b";
         job.body = PART;
         job.dueUs = 60_000_000;
-        var fields = new Codec.Out();
+        var fields = new RecordWriter();
         job.write(fields);
         return body(fields);
     }
@@ -151,8 +159,8 @@
         return written;
     }
 
-    private static byte[] bytes(CoreState.Change change) {
-        var out = new Codec.Out();
+    private static byte[] bytes(ClusterState.Change change) {
+        var out = new RecordWriter();
         change.write(out);
         return out.bytes();
     }
@@ -171,16 +179,16 @@
                                         name,
                                         recorded,
                                         name.startsWith("core state")
-                                                ? CoreState.of(recorded).bytes()
-                                                : ChainCore.MemberState.of(recorded).bytes()));
+                                                ? ClusterState.of(recorded).bytes()
+                                                : ChainMember.MemberState.of(recorded).bytes()));
     }
 
     @Test
     void noPartOfTheFilledStateIsEmpty() {
         var recorded = GoldenFile.read(STATES).get("member state, every part filled");
-        var member = ChainCore.MemberState.of(recorded);
-        assertEquals(new ChainCore.Ballot(12, "10.1.0.1"), member.promised);
-        assertEquals(new ChainCore.Ballot(11, "10.0.0.1"), member.accepted);
+        var member = ChainMember.MemberState.of(recorded);
+        assertEquals(new ChainMember.Ballot(12, "10.1.0.1"), member.promised);
+        assertEquals(new ChainMember.Ballot(11, "10.0.0.1"), member.accepted);
         var state = member.state;
         assertEquals(List.of("10.0.0.1", "10.1.0.1", "10.2.0.1", "10.3.0.1"), state.roster);
         assertEquals(Set.of("10.2.0.1", "10.3.0.1"), state.departed);
@@ -194,8 +202,9 @@
         assertEquals(2, state.duties.get("scale/south").grant);
         assertEquals("10.1.2.2#9", state.duties.get("scale/south").holder);
         assertEquals(
-                new CoreState.Scale(1, false, 1, Set.of("n2", "n3")), state.scales.get("north/m"));
-        assertEquals(new CoreState.Scale(0, true, 0, Set.of()), state.scales.get("south/m"));
+                new ClusterState.Scale(1, false, 1, Set.of("n2", "n3")),
+                state.scales.get("north/m"));
+        assertEquals(new ClusterState.Scale(0, true, 0, Set.of()), state.scales.get("south/m"));
         assertEquals(
                 Map.of(
                         "evacuation/north-a", 1L,
@@ -220,9 +229,9 @@
 
     @Test
     void changesAreWrittenAsRecorded() {
-        var acts = EnumSet.noneOf(CoreState.Act.class);
+        var acts = EnumSet.noneOf(ClusterState.Act.class);
         changes().values().forEach(change -> acts.add(change.act));
-        assertEquals(EnumSet.allOf(CoreState.Act.class), acts);
+        assertEquals(EnumSet.allOf(ClusterState.Act.class), acts);
         GoldenFile.assertRecorded(GoldenFile.read(CHANGES), writtenChanges());
     }
 
@@ -234,14 +243,16 @@
                                 GoldenFile.assertSameBytes(
                                         name,
                                         bytes,
-                                        bytes(CoreState.Change.read(new Codec.In(bytes, false)))));
+                                        bytes(
+                                                ClusterState.Change.read(
+                                                        new RecordReader(bytes, false)))));
     }
 
     @Test
     void aRecordedScaleOrderHasItsFields() {
         var recorded = GoldenFile.read(CHANGES).get("scale to a count");
-        var change = CoreState.Change.read(new Codec.In(recorded, false));
-        assertEquals(CoreState.Act.SCALE, change.act);
+        var change = ClusterState.Change.read(new RecordReader(recorded, false));
+        assertEquals(ClusterState.Act.SCALE, change.act);
         assertEquals(6, change.base);
         assertEquals("north/m", change.subject);
         assertEquals("2\nn2\nn3", change.body);
--- a/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
@@ -15,10 +15,10 @@
 import java.util.Optional;
 import java.util.zip.CRC32;
 import martenloom.common.clock.Clocks;
-import martenloom.common.fleet.FleetRecords;
-import martenloom.core.chain.ChainCore;
+import martenloom.common.fleet.ReplicaRecord;
+import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.Registry;
-import martenloom.core.state.CoreState;
+import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -51,15 +51,15 @@
     @TempDir private Path folder;
 
     /** What the member keeps as its versions 1, 2 and 3. */
-    private static List<ChainCore.MemberState> versions() {
-        var founded = CoreState.founded(List.of("10.0.0.1", "10.1.0.1"));
-        var none = ChainCore.Ballot.ZERO;
-        var older = new ChainCore.Ballot(11, "10.0.0.1");
-        var newer = new ChainCore.Ballot(12, "10.1.0.1");
+    private static List<ChainMember.MemberState> versions() {
+        var founded = ClusterState.founded(List.of("10.0.0.1", "10.1.0.1"));
+        var none = ChainMember.Ballot.ZERO;
+        var older = new ChainMember.Ballot(11, "10.0.0.1");
+        var newer = new ChainMember.Ballot(12, "10.1.0.1");
         return List.of(
-                new ChainCore.MemberState(none, none, founded),
-                new ChainCore.MemberState(older, none, founded),
-                new ChainCore.MemberState(newer, older, FilledState.build()));
+                new ChainMember.MemberState(none, none, founded),
+                new ChainMember.MemberState(older, none, founded),
+                new ChainMember.MemberState(newer, older, FilledState.build()));
     }
 
     /** The note of the most edges and homes ever known, and of replicas of every kind. */
@@ -83,8 +83,8 @@
         return registry.memo(17, 3, nowUs + 2 * SECOND_US);
     }
 
-    private static FleetRecords.Replica replica(String id, long heardUs) {
-        var replica = new FleetRecords.Replica();
+    private static ReplicaRecord replica(String id, long heardUs) {
+        var replica = new ReplicaRecord();
         replica.id = id;
         replica.service = "s";
         replica.address = "10.0.0.9:8080";
@@ -146,8 +146,8 @@
         return Arrays.copyOfRange(file, HEAD_BYTES, file.length);
     }
 
-    private static void assertState(ChainCore.MemberState expected, Optional<byte[]> found) {
-        var member = ChainCore.MemberState.of(found.orElseThrow());
+    private static void assertState(ChainMember.MemberState expected, Optional<byte[]> found) {
+        var member = ChainMember.MemberState.of(found.orElseThrow());
         assertEquals(expected.promised, member.promised);
         assertEquals(expected.accepted, member.accepted);
         GoldenFile.assertSameBytes("state", expected.state.bytes(), member.state.bytes());
