--- /dev/null
+++ b/common/src/test/java/martenloom/common/fleet/FleetRecordsGoldenTest.java
@@ -0,0 +1,189 @@
+package martenloom.common.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.ByteBuffer;
+import martenloom.common.codec.Codec;
+import martenloom.common.golden.GoldenBytes;
+import org.junit.jupiter.api.Test;
+
+/** The recorded bytes of the rows of the fleet's registry and the numbers of the record types. */
+final class FleetRecordsGoldenTest {
+    private static final long NOW_US = 50_000_000_000L;
+
+    private final GoldenBytes golden = new GoldenBytes("fleet-records.txt");
+
+    // ---- the values
+
+    private static FleetRecords.Replica warmReplica() {
+        var replica = new FleetRecords.Replica();
+        replica.id = "replica-1";
+        replica.service = "chat";
+        replica.address = "10.9.3.10:9000";
+        replica.zone = "north-a";
+        replica.capacity = 8;
+        replica.seq = 77;
+        replica.warmAtUs = NOW_US;
+        replica.heardUs = NOW_US - 120_000;
+        return replica;
+    }
+
+    private static FleetRecords.Replica endingReplica() {
+        var replica = warmReplica();
+        replica.id = "réplica-2";
+        replica.draining = true;
+        replica.gone = true;
+        replica.silent = true;
+        replica.warmAtUs = NOW_US + 1_500_000;
+        replica.leavesAtUs = NOW_US + 9_000_000;
+        replica.heardUs = NOW_US - 4_000_000;
+        return replica;
+    }
+
+    private static FleetRecords.Edge readyEdge() {
+        var edge = new FleetRecords.Edge();
+        edge.ip = "10.9.2.10";
+        edge.name = "edge-north-1";
+        edge.zone = "north-a";
+        edge.region = "north";
+        edge.front = "10.9.2.10:8000";
+        edge.ready = true;
+        edge.life = 0x1122334455667788L;
+        edge.seq = 5;
+        edge.revision = 12;
+        edge.heardUs = NOW_US - 400_000;
+        return edge;
+    }
+
+    private static FleetRecords.Edge leavingEdge() {
+        var edge = readyEdge();
+        edge.ready = false;
+        edge.leaving = true;
+        edge.life = -2;
+        return edge;
+    }
+
+    private static byte[] encoded(FleetRecords.Replica replica) {
+        var out = new Codec.Out();
+        replica.write(out, NOW_US);
+        return out.bytes();
+    }
+
+    private static byte[] encoded(FleetRecords.Edge edge) {
+        var out = new Codec.Out();
+        edge.write(out, NOW_US);
+        return out.bytes();
+    }
+
+    private FleetRecords.Replica replica(String name) {
+        return FleetRecords.Replica.read(new Codec.In(golden.bytes(name), false), NOW_US);
+    }
+
+    private FleetRecords.Edge edge(String name) {
+        return FleetRecords.Edge.read(new Codec.In(golden.bytes(name), false), NOW_US);
+    }
+
+    private static byte[] numbers(int... numbers) {
+        var bytes = ByteBuffer.allocate(4 * numbers.length);
+        for (var number : numbers) {
+            bytes.putInt(number);
+        }
+        return bytes.array();
+    }
+
+    // ---- the checks
+
+    @Test
+    void replicasAreEncodedAsRecorded() {
+        golden.check("replica.warm", encoded(warmReplica()));
+        golden.check("replica.ending", encoded(endingReplica()));
+        golden.check("replica.default", encoded(new FleetRecords.Replica()));
+    }
+
+    @Test
+    void recordedReplicasAreDecodedAndEncodedAgain() {
+        for (var name : new String[] {"replica.warm", "replica.ending", "replica.default"}) {
+            golden.check(name, encoded(replica(name)));
+        }
+        var ending = replica("replica.ending");
+        assertEquals("réplica-2", ending.id);
+        assertEquals("chat", ending.service);
+        assertEquals("10.9.3.10:9000", ending.address);
+        assertEquals("north-a", ending.zone);
+        assertEquals(8, ending.capacity);
+        assertEquals(77, ending.seq);
+        assertTrue(ending.draining && ending.gone && ending.silent);
+        assertEquals(NOW_US + 1_500_000, ending.warmAtUs);
+        assertEquals(NOW_US + 9_000_000, ending.leavesAtUs);
+        assertEquals(NOW_US - 4_000_000, ending.heardUs);
+        assertEquals(Long.MAX_VALUE, replica("replica.warm").leavesAtUs);
+    }
+
+    @Test
+    void edgesAreEncodedAsRecorded() {
+        golden.check("edge.ready", encoded(readyEdge()));
+        golden.check("edge.leaving", encoded(leavingEdge()));
+    }
+
+    @Test
+    void recordedEdgesAreDecodedAndEncodedAgain() {
+        golden.check("edge.ready", encoded(edge("edge.ready")));
+        golden.check("edge.leaving", encoded(edge("edge.leaving")));
+        var leaving = edge("edge.leaving");
+        assertFalse(leaving.ready);
+        assertTrue(leaving.leaving);
+        assertEquals("10.9.2.10", leaving.ip);
+        assertEquals("edge-north-1", leaving.name);
+        assertEquals("10.9.2.10:8000", leaving.front);
+        assertEquals(-2, leaving.life);
+        assertEquals(5, leaving.seq);
+        assertEquals(12, leaving.revision);
+        assertEquals(NOW_US - 400_000, leaving.heardUs);
+    }
+
+    /** Digests are compared between daemons, and ranges must be the same at all of them. */
+    @Test
+    void digestsAndRangesAreAsRecorded() {
+        golden.check("replica.digests", numbers(warmReplica().digest(), endingReplica().digest()));
+        golden.check("edge.digests", numbers(readyEdge().digest(), leavingEdge().digest()));
+        golden.check(
+                "ranges",
+                numbers(
+                        FleetRecords.RANGES,
+                        FleetRecords.range(""),
+                        FleetRecords.range("replica-1"),
+                        FleetRecords.range("réplica-2"),
+                        FleetRecords.range("10.9.2.10")));
+    }
+
+    @Test
+    void theTypesHaveTheirNumbers() {
+        golden.check(
+                "types",
+                numbers(
+                        FleetRecords.FLOOD,
+                        FleetRecords.DIGEST,
+                        FleetRecords.ASK,
+                        FleetRecords.ANSWER,
+                        FleetRecords.DUTY_WANT,
+                        FleetRecords.DUTY_GRANT,
+                        FleetRecords.HELLO,
+                        FleetRecords.HEARD,
+                        FleetRecords.FLOOD_CONFIRMED,
+                        FleetRecords.RENEW,
+                        FleetRecords.NEWS,
+                        FleetRecords.CONFIGURATION,
+                        FleetRecords.REPLICAS,
+                        FleetRecords.RESYNC,
+                        FleetRecords.JOBS,
+                        FleetRecords.EDGE_ASK,
+                        FleetRecords.SAMPLE,
+                        FleetRecords.HOME_SUM,
+                        FleetRecords.WHOLE_SUM,
+                        FleetRecords.REPORT,
+                        FleetRecords.QUERY,
+                        FleetRecords.TEXT));
+    }
+}
