--- a/common/src/test/java/martenloom/common/codec/CodecGoldenTest.java
+++ b/common/src/test/java/martenloom/common/codec/CodecGoldenTest.java
@@ -56,7 +56,7 @@
     @Test
     void recordedFieldsAreDecoded() {
         var in = new RecordReader(golden.bytes("every-field"), true);
-        assertEquals(200, in.type);
+        assertEquals(200, in.type());
         assertEquals(255, in.u8());
         assertEquals(-2, in.i32());
         assertEquals(0, in.i16());
