--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -19,13 +19,30 @@
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
+import martenloom.core.admin.ShellQueries;
 import martenloom.core.api.ControlApi;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.configuration.CompiledRoutes;
+import martenloom.core.edge.ConfigurationPublisher;
+import martenloom.core.edge.EdgeLeaseRenewals;
+import martenloom.core.edge.EdgeLeaseResponder;
+import martenloom.core.edge.EdgeLinks;
+import martenloom.core.forwarding.CommandForwarder;
+import martenloom.core.jobs.JobClockUpdater;
+import martenloom.core.jobs.RegionJobListing;
+import martenloom.core.lease.LeaseRelay;
 import martenloom.core.lease.RoleLeaseService;
+import martenloom.core.load.LoadPublisher;
+import martenloom.core.membership.GracefulShutdown;
+import martenloom.core.peer.CorePeerLinks;
+import martenloom.core.peer.PeerRequests;
 import martenloom.core.placement.PlacementService;
 import martenloom.core.registry.Registry;
+import martenloom.core.registry.RegistryCheckpoint;
+import martenloom.core.registry.ReplicaUpdatePublisher;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
+import martenloom.core.warmup.WarmupPermitLender;
 
 /**
  * The core program: puts the chain, its disk, the registry and the control API on one reactor,
@@ -52,22 +69,22 @@
     private final VersionedStore store;
     private final ChainMember chain;
     private final Registry registry;
-    private final FleetMemory memory;
-    private final CorePeers peers;
+    private final RegistryCheckpoint memory;
+    private final CorePeerLinks peers;
     private final PeerRequests peerRequests = new PeerRequests();
-    private final HomeLinks homes = new HomeLinks();
+    private final EdgeLinks homes = new EdgeLinks();
     private final CompiledRoutes routes = new CompiledRoutes();
-    private final OrderForwarding orders;
-    private final OrderlyLeave leave;
+    private final CommandForwarder orders;
+    private final GracefulShutdown leave;
     private final PlacementService placement;
     private final RoleLeaseService duties;
     private final LeaseRelay dutyRelay;
-    private final JobClock jobClock;
-    private final ReplicaNews replicaNews;
-    private final LoadExchange loads;
-    private final EdgeConfigurations configurations;
-    private final ColdSends coldSends;
-    private final EdgeRenewals renewals;
+    private final JobClockUpdater jobClock;
+    private final ReplicaUpdatePublisher replicaNews;
+    private final LoadPublisher loads;
+    private final ConfigurationPublisher configurations;
+    private final WarmupPermitLender coldSends;
+    private final EdgeLeaseRenewals renewals;
     private final ShellQueries shellQueries;
 
     public CoreDaemon(Settings settings, Eventloop loop, VersionedStore.Folder folder) {
@@ -78,26 +95,30 @@
         var kept = store.load();
         chain = chain(kept.map(ChainMember.MemberState::of));
         registry = new Registry(settings.beatMs * 1000L);
-        memory = new FleetMemory(settings, store, registry);
-        peers = new CorePeers(loop, settings, chain, memory, this);
-        orders = new OrderForwarding(loop, settings, chain, peers, peerRequests, this::carryOut);
-        leave = new OrderlyLeave(loop, settings, chain, orders::handOver, orders::owesAnswers);
+        memory = new RegistryCheckpoint(settings, store, registry);
+        peers = new CorePeerLinks(loop, settings, chain, memory, this);
+        orders = new CommandForwarder(loop, settings, chain, peers, peerRequests, this::carryOut);
+        leave = new GracefulShutdown(loop, settings, chain, orders::submit, orders::owesAnswers);
         placement = new PlacementService(settings, chain, registry, routes::of);
         chain.onSurvey(() -> placement.now().text());
-        duties = new RoleLeaseService(chain, orders::askHere, Clocks::nowUs);
+        duties = new RoleLeaseService(chain, orders::submitLocally, Clocks::nowUs);
         dutyRelay = new LeaseRelay(chain, duties, peers, homes);
-        jobClock = new JobClock(chain, orders);
-        replicaNews = new ReplicaNews(loop, settings, chain, registry, peers, peerRequests, homes);
-        loads = new LoadExchange(settings, peers, homes);
-        configurations = new EdgeConfigurations(chain, homes);
+        jobClock = new JobClockUpdater(chain, orders);
+        replicaNews =
+                new ReplicaUpdatePublisher(
+                        loop, settings, chain, registry, peers, peerRequests, homes);
+        loads = new LoadPublisher(settings, peers, homes);
+        configurations = new ConfigurationPublisher(chain, homes);
         var firstStart = kept.isEmpty() && settings.bootstrap;
         coldSends =
-                new ColdSends(settings, chain, registry, routes, memory, peers, homes, firstStart);
-        var regionJobs = new RegionJobs(chain, routes);
+                new WarmupPermitLender(
+                        settings, chain, registry, routes, memory, peers, homes, firstStart);
+        var regionJobs = new RegionJobListing(chain, routes);
         var news =
-                new EdgeNews(chain, registry, memory, peers, regionJobs, coldSends, leave, startUs);
+                new EdgeLeaseResponder(
+                        chain, registry, memory, peers, regionJobs, coldSends, leave, startUs);
         renewals =
-                new EdgeRenewals(
+                new EdgeLeaseRenewals(
                         registry, homes, configurations, news, regionJobs, replicaNews, dutyRelay);
         shellQueries = new ShellQueries(settings, chain, registry, placement, homes);
     }
@@ -122,14 +143,14 @@
     }
 
     private boolean founder() {
-        return CorePeers.seedIps(settings).contains(settings.ip);
+        return CorePeerLinks.seedIps(settings).contains(settings.ip);
     }
 
     private ChainMember.MemberState founded() {
         return new ChainMember.MemberState(
                 ChainMember.Ballot.ZERO,
                 ChainMember.Ballot.ZERO,
-                ClusterState.founded(CorePeers.seedIps(settings)));
+                ClusterState.founded(CorePeerLinks.seedIps(settings)));
     }
 
     /**
@@ -164,7 +185,7 @@
                         settings,
                         registry,
                         this::acceptsHeartbeats,
-                        orders::handOver,
+                        orders::submit,
                         replicaNews::tellMajority,
                         () -> routes.of(chain.committed()),
                         chain::committed,
@@ -179,7 +200,7 @@
                         loop,
                         request ->
                                 leave.begun()
-                                        ? Promise.of(OrderlyLeave.goElsewhere())
+                                        ? Promise.of(GracefulShutdown.goElsewhere())
                                         : controlApi.serve(request))
                 .withListenAddresses(List.copyOf(addresses))
                 .withKeepAliveTimeout(KEEP_ALIVE)
--- a/core/src/main/java/martenloom/core/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.admin;
 
 import java.util.function.Function;
 import java.util.stream.Collectors;
@@ -10,6 +10,7 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.edge.EdgeLinks;
 import martenloom.core.placement.PlacementService;
 import martenloom.core.registry.Registry;
 
@@ -17,7 +18,7 @@
  * Answers the queries of the operator's shell in plain text. Only reads; a query that is not known
  * is answered by a list of those that are. Runs on the reactor thread.
  */
-final class ShellQueries {
+public final class ShellQueries {
     private static final int LOG_LINES = 200;
     private static final String USAGE =
             "? members chain configuration replicas evacuations homes leases jobs"
@@ -27,14 +28,14 @@
     private final ChainMember chain;
     private final Registry registry;
     private final PlacementService placement;
-    private final HomeLinks homes;
+    private final EdgeLinks homes;
 
-    ShellQueries(
+    public ShellQueries(
             Settings settings,
             ChainMember chain,
             Registry registry,
             PlacementService placement,
-            HomeLinks homes) {
+            EdgeLinks homes) {
         this.settings = settings;
         this.chain = chain;
         this.registry = registry;
@@ -42,7 +43,7 @@
         this.homes = homes;
     }
 
-    String answer(String query) {
+    public String answer(String query) {
         var words = query.split(" ");
         if (words.length == 3
                 && words[0].equals("would")
--- a/core/src/main/java/martenloom/core/api/ControlApi.java
+++ b/core/src/main/java/martenloom/core/api/ControlApi.java
@@ -16,7 +16,6 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -29,6 +28,7 @@
 import martenloom.common.jobs.Job;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
+import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
 import martenloom.routing.configuration.Configurations;
@@ -46,12 +46,6 @@
     private static final int MOST_BODY = 8 << 20;
     private static final String INSTANCE_ID = "[\\x21-\\x7e]{1,256}";
 
-    /** Hands a change to the head of the chain, wherever it is. */
-    @FunctionalInterface
-    public interface OrderForwarder {
-        void ask(ClusterState.Change c, BiConsumer<Integer, String> reply);
-    }
-
     /** Tells all that a replica drains or has ended, and then whether a majority knows it. */
     @FunctionalInterface
     public interface EndNotice {
@@ -62,7 +56,7 @@
     private final Settings settings;
     private final Registry registry;
     private final BooleanSupplier acceptsHeartbeats;
-    private final OrderForwarder chain;
+    private final CommandSubmitter chain;
     private final EndNotice endNotice;
     private final Supplier<RouteTable> table;
     private final Supplier<ClusterState> committed;
@@ -74,7 +68,7 @@
             Settings settings,
             Registry registry,
             BooleanSupplier acceptsHeartbeats,
-            OrderForwarder chain,
+            CommandSubmitter chain,
             EndNotice endNotice,
             Supplier<RouteTable> table,
             Supplier<ClusterState> committed,
@@ -192,7 +186,7 @@
     }
 
     private void ask(ClusterState.Change c, long since, SettablePromise<HttpResponse> p) {
-        chain.ask(
+        chain.submit(
                 c,
                 (s, t) -> {
                     if (s == 503 && Clocks.nowUs() - since < 850_000) {
--- a/core/src/main/java/martenloom/core/CompiledRoutes.java
+++ b/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.configuration;
 
 import martenloom.core.state.ClusterState;
 import martenloom.routing.language.RoutingLanguage;
@@ -8,10 +8,10 @@
  * The route table of the state that was asked for last; compiled again only when the revision of
  * the routing text is another. Runs on the reactor thread.
  */
-final class CompiledRoutes {
+public final class CompiledRoutes {
     private RouteTable table = RouteTable.EMPTY;
 
-    RouteTable of(ClusterState state) {
+    public RouteTable of(ClusterState state) {
         if (table.revision != state.revision) {
             table = RoutingLanguage.compile(state.routingText);
         }
--- a/core/src/main/java/martenloom/core/EdgeConfigurations.java
+++ b/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.edge;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -13,20 +13,20 @@
  * Sends the committed configuration to the edges of this home. The routing text goes to an edge
  * only with a revision that it has not been sent on its link. Runs on the reactor thread.
  */
-final class EdgeConfigurations {
+public final class ConfigurationPublisher {
     private static final long NEVER_SENT = -1;
 
     private final ChainMember chain;
-    private final HomeLinks homes;
+    private final EdgeLinks homes;
     private final Map<String, Long> sentRevision = new HashMap<>();
 
-    EdgeConfigurations(ChainMember chain, HomeLinks homes) {
+    public ConfigurationPublisher(ChainMember chain, EdgeLinks homes) {
         this.chain = chain;
         this.homes = homes;
     }
 
     /** Sends a newly committed state to all edges. */
-    void onCommitted(ClusterState state) {
+    public void onCommitted(ClusterState state) {
         var whole = configuration(state, true);
         var withoutText = configuration(state, false);
         homes.forEach(
@@ -41,7 +41,7 @@
      * Sends the whole configuration to one edge. Nothing is handed out as current that may be old:
      * the edge is told our age with every renewal, and goes elsewhere.
      */
-    void sendWhole(String edgeIp, PeerLinks.Link link) {
+    public void sendWhole(String edgeIp, PeerLinks.Link link) {
         if (!chain.fresh(Clocks.nowUs())) {
             return;
         }
@@ -50,12 +50,12 @@
         sentRevision.put(edgeIp, state.revision);
     }
 
-    boolean sentTo(String edgeIp) {
+    public boolean sentTo(String edgeIp) {
         return sentRevision.containsKey(edgeIp);
     }
 
     /** Forgets what an edge was sent: its link has closed, or is a new one. */
-    void forget(String edgeIp) {
+    public void forget(String edgeIp) {
         sentRevision.remove(edgeIp);
     }
 
--- a/core/src/main/java/martenloom/core/EdgeRenewals.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
@@ -1,31 +1,34 @@
-package martenloom.core;
+package martenloom.core.edge;
 
 import martenloom.common.codec.RecordReader;
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.link.PeerLinks;
+import martenloom.core.jobs.RegionJobListing;
+import martenloom.core.lease.LeaseRelay;
 import martenloom.core.registry.Registry;
+import martenloom.core.registry.ReplicaUpdatePublisher;
 
 /**
  * Takes the renewals of the edges of this home and answers each with news of the fleet and, for the
  * holder of that duty, the live jobs of its region. An edge that renews on a new link is first sent
  * all replicas and the whole configuration. Runs on the reactor thread.
  */
-final class EdgeRenewals {
+public final class EdgeLeaseRenewals {
     private final Registry registry;
-    private final HomeLinks homes;
-    private final EdgeConfigurations configurations;
-    private final EdgeNews news;
-    private final RegionJobs regionJobs;
-    private final ReplicaNews replicaNews;
+    private final EdgeLinks homes;
+    private final ConfigurationPublisher configurations;
+    private final EdgeLeaseResponder news;
+    private final RegionJobListing regionJobs;
+    private final ReplicaUpdatePublisher replicaNews;
     private final LeaseRelay dutyRelay;
 
-    EdgeRenewals(
+    public EdgeLeaseRenewals(
             Registry registry,
-            HomeLinks homes,
-            EdgeConfigurations configurations,
-            EdgeNews news,
-            RegionJobs regionJobs,
-            ReplicaNews replicaNews,
+            EdgeLinks homes,
+            ConfigurationPublisher configurations,
+            EdgeLeaseResponder news,
+            RegionJobListing regionJobs,
+            ReplicaUpdatePublisher replicaNews,
             LeaseRelay dutyRelay) {
         this.registry = registry;
         this.homes = homes;
@@ -36,7 +39,7 @@
         this.dutyRelay = dutyRelay;
     }
 
-    void onRenew(PeerLinks.Link link, RecordReader in, long now) {
+    public void onRenew(PeerLinks.Link link, RecordReader in, long now) {
         var edge = EdgeRecord.read(in, now);
         var stamp = in.i64();
         edge.heardUs = now - link.delay.measure(stamp, now);
@@ -65,7 +68,7 @@
     }
 
     /** Sends the whole configuration and all replicas again, at the wish of the edge. */
-    void onResync(PeerLinks.Link link, long now) {
+    public void onResync(PeerLinks.Link link, long now) {
         configurations.sendWhole(link.tag instanceof String edgeIp ? edgeIp : "", link);
         sendReplicas(link, now);
     }
--- a/core/src/main/java/martenloom/core/HomeLinks.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLinks.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.edge;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -13,7 +13,7 @@
  * The links of the edges that made this daemon their home, one for each edge: the link on which the
  * edge renewed last. Runs on the reactor thread.
  */
-final class HomeLinks {
+public final class EdgeLinks {
     /**
      * An edge renews every 0.4 s; three renewals missed mean that it does not rely on this daemon.
      */
@@ -22,7 +22,7 @@
     private final Map<String, PeerLinks.Link> links = new LinkedHashMap<>();
 
     /** Makes this the link of an edge; true when it was not already. */
-    boolean bind(String edgeIp, PeerLinks.Link link) {
+    public boolean bind(String edgeIp, PeerLinks.Link link) {
         if (links.put(edgeIp, link) == link) {
             return false;
         }
@@ -31,28 +31,28 @@
     }
 
     /** Forgets a closed link; returns the edge that has lost its home by that, if any. */
-    Optional<String> remove(PeerLinks.Link link) {
+    public Optional<String> remove(PeerLinks.Link link) {
         var edgeIp = edgeOf(link);
         edgeIp.ifPresent(links::remove);
         return edgeIp;
     }
 
     /** The edge whose current link this is. */
-    Optional<String> edgeOf(PeerLinks.Link link) {
+    public Optional<String> edgeOf(PeerLinks.Link link) {
         return link.tag instanceof String edgeIp && links.get(edgeIp) == link
                 ? Optional.of(edgeIp)
                 : Optional.empty();
     }
 
-    Optional<PeerLinks.Link> link(String edgeIp) {
+    public Optional<PeerLinks.Link> link(String edgeIp) {
         return Optional.ofNullable(links.get(edgeIp));
     }
 
-    Collection<String> edgeIps() {
+    public Collection<String> edgeIps() {
         return Set.copyOf(links.keySet());
     }
 
-    int size() {
+    public int size() {
         return links.size();
     }
 
@@ -60,16 +60,16 @@
      * Goes over a copy: a link that is found not to read is closed by the sending, and is removed
      * meanwhile.
      */
-    void forEach(BiConsumer<String, PeerLinks.Link> action) {
+    public void forEach(BiConsumer<String, PeerLinks.Link> action) {
         List.copyOf(links.entrySet()).forEach(e -> action.accept(e.getKey(), e.getValue()));
     }
 
-    void sendAll(byte[] record) {
+    public void sendAll(byte[] record) {
         forEach((edgeIp, link) -> link.send(record));
     }
 
     /** Whether an edge was heard so lately that it relies on this daemon. */
-    boolean reliedOn(long now) {
+    public boolean reliedOn(long now) {
         return links.values().stream().anyMatch(link -> now - link.heardUs < RELIED_US);
     }
 }
--- a/core/src/main/java/martenloom/core/OrderForwarding.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.forwarding;
 
 import io.activej.eventloop.Eventloop;
 import java.util.HashMap;
@@ -12,6 +12,8 @@
 import martenloom.common.link.PendingRequests;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.peer.CorePeerLinks;
+import martenloom.core.peer.PeerRequests;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -20,13 +22,13 @@
  * came in time, and does not know then whether the order was carried out. Runs on the reactor
  * thread.
  */
-final class OrderForwarding {
+public final class CommandForwarder {
     private static final long ANSWER_US = 2_500_000;
 
     private final Eventloop loop;
     private final Settings settings;
     private final ChainMember chain;
-    private final CorePeers peers;
+    private final CorePeerLinks peers;
     private final PeerRequests peerRequests;
     private final Runnable carryOut;
     private final Map<Long, BiConsumer<Integer, String>> localRequests = new HashMap<>();
@@ -35,11 +37,11 @@
     /**
      * @param carryOut carries out what the chain commands
      */
-    OrderForwarding(
+    public CommandForwarder(
             Eventloop loop,
             Settings settings,
             ChainMember chain,
-            CorePeers peers,
+            CorePeerLinks peers,
             PeerRequests peerRequests,
             Runnable carryOut) {
         this.loop = loop;
@@ -51,7 +53,7 @@
     }
 
     /** Puts an order to the chain of this daemon. */
-    void askHere(ClusterState.Change order, BiConsumer<Integer, String> reply) {
+    public void submitLocally(ClusterState.Change order, BiConsumer<Integer, String> reply) {
         var id = ++lastLocal;
         localRequests.put(id, reply);
         chain.onAsk(Clocks.nowUs(), id, order);
@@ -59,9 +61,9 @@
     }
 
     /** Hands an order to the head, wherever it is. */
-    void handOver(ClusterState.Change order, BiConsumer<Integer, String> reply) {
+    public void submit(ClusterState.Change order, BiConsumer<Integer, String> reply) {
         if (chain.heading()) {
-            askHere(order, reply);
+            submitLocally(order, reply);
             return;
         }
         var link = peers.headLink();
@@ -78,15 +80,15 @@
     }
 
     /** An order that another core daemon has handed over to this one. */
-    void onOrder(PeerLinks.Link link, RecordReader in) {
+    public void onOrder(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        askHere(
+        submitLocally(
                 ClusterState.Change.read(in),
                 (status, text) -> PeerRequests.answer(link, id, status, text));
     }
 
     /** An order of an edge, which may only give those of the runner of jobs. */
-    void onEdgeOrder(PeerLinks.Link link, RecordReader in) {
+    public void onEdgeOrder(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         var act = ClusterState.Act.valueOf(in.text());
         var subject = in.text();
@@ -97,22 +99,22 @@
             PeerRequests.answer(link, id, 400, "not for an edge");
             return;
         }
-        handOver(order, (status, text) -> PeerRequests.answer(link, id, status, text));
+        submit(order, (status, text) -> PeerRequests.answer(link, id, status, text));
     }
 
     /** The chain's answer to an order that was put to it here. */
-    void onDecided(ChainMember.Answer answer) {
+    public void onDecided(ChainMember.Answer answer) {
         Optional.ofNullable(localRequests.remove(answer.request()))
                 .ifPresent(reply -> reply.accept(answer.status(), answer.text()));
     }
 
     /** Whether this daemon knew of a majority that held together a moment ago. */
-    boolean inTouch() {
+    public boolean inTouch() {
         return chain.fresh(Clocks.nowUs());
     }
 
     /** Whether callers here still wait for an answer. */
-    boolean owesAnswers() {
+    public boolean owesAnswers() {
         return !localRequests.isEmpty() || !peerRequests.isEmpty();
     }
 }
--- /dev/null
+++ b/core/src/main/java/martenloom/core/forwarding/CommandSubmitter.java
@@ -0,0 +1,16 @@
+package martenloom.core.forwarding;
+
+import java.util.function.BiConsumer;
+import martenloom.core.state.ClusterState;
+
+/** Submits a command to the replicated state, wherever the head of the chain is. */
+@FunctionalInterface
+public interface CommandSubmitter {
+    /**
+     * Submits a command.
+     *
+     * @param reply is called once, on the reactor thread, with the status and the text of the
+     *     result
+     */
+    void submit(ClusterState.Change command, BiConsumer<Integer, String> reply);
+}
--- a/core/src/main/java/martenloom/core/RegionJobs.java
+++ b/core/src/main/java/martenloom/core/jobs/RegionJobListing.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.jobs;
 
 import java.util.List;
 import java.util.Optional;
@@ -6,6 +6,7 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.common.jobs.Job;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.configuration.CompiledRoutes;
 import martenloom.core.state.ClusterState;
 import martenloom.routing.route.RouteTable;
 
@@ -13,21 +14,21 @@
  * The live jobs of a region as its edges are told of them. Only the holder of the duty to run them
  * is given the list; times in it are relative to the clock of the jobs. Runs on the reactor thread.
  */
-final class RegionJobs {
+public final class RegionJobListing {
     private final ChainMember chain;
     private final CompiledRoutes routes;
 
-    RegionJobs(ChainMember chain, CompiledRoutes routes) {
+    public RegionJobListing(ChainMember chain, CompiledRoutes routes) {
         this.chain = chain;
         this.routes = routes;
     }
 
-    boolean anyLive(String region) {
+    public boolean anyLive(String region) {
         return !live(chain.committed(), region).isEmpty();
     }
 
     /** The record of the live jobs of a region, when this is the holder of that duty. */
-    Optional<byte[]> recordFor(String holder, String region, long now) {
+    public Optional<byte[]> recordFor(String holder, String region, long now) {
         var state = chain.committed();
         var duty = Optional.ofNullable(state.duties.get("jobs/" + region));
         if (duty.filter(current -> current.holder.equals(holder)).isEmpty()) {
--- a/core/src/main/java/martenloom/core/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.lease;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,24 +9,26 @@
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
 import martenloom.core.chain.ChainMember;
-import martenloom.core.lease.RoleLeaseService;
+import martenloom.core.edge.EdgeLinks;
+import martenloom.core.peer.CorePeerLinks;
 
 /**
  * Carries the edges' wishes for duties to the head, its grants back to them, and the reports of
  * those who hold a duty to all edges. A grant counts only from the head of the moment; grants and
  * reports under an older grant than is known here are dropped. Runs on the reactor thread.
  */
-final class LeaseRelay {
+public final class LeaseRelay {
     /** Wishes of edges that do not hold the duty are passed on as seldom as this. */
     private static final long WANT_US = 350_000;
 
     private final ChainMember chain;
     private final RoleLeaseService duties;
-    private final CorePeers peers;
-    private final HomeLinks homes;
+    private final CorePeerLinks peers;
+    private final EdgeLinks homes;
     private final Map<String, Long> passedUs = new HashMap<>();
 
-    LeaseRelay(ChainMember chain, RoleLeaseService duties, CorePeers peers, HomeLinks homes) {
+    public LeaseRelay(
+            ChainMember chain, RoleLeaseService duties, CorePeerLinks peers, EdgeLinks homes) {
         this.chain = chain;
         this.duties = duties;
         this.peers = peers;
@@ -37,7 +39,7 @@
      * Passes on that an edge wants a duty. The holder's own word goes on always, others' only one
      * in a while: the head needs a candidate, not all of them.
      */
-    void passWant(String duty, String holder, long stamp, long now) {
+    public void passWant(String duty, String holder, long stamp, long now) {
         if (!holds(duty, holder)) {
             if (now - passedUs.getOrDefault(duty, 0L) < WANT_US) {
                 return;
@@ -71,7 +73,7 @@
     }
 
     /** Another core daemon passes on that an edge of its own wants a duty. */
-    void onWant(PeerLinks.Link link, RecordReader in) {
+    public void onWant(PeerLinks.Link link, RecordReader in) {
         duties.want(in.text(), in.text(), in.i64(), link::send);
     }
 
@@ -79,7 +81,7 @@
      * A grant counts from the head of the moment, on our link to it, and not when a newer one is
      * known here.
      */
-    void onGrant(PeerLinks.Link from, byte[] record, RecordReader in) {
+    public void onGrant(PeerLinks.Link from, byte[] record, RecordReader in) {
         var holder = in.text();
         var duty = in.text();
         var ofHead = peers.headLink().filter(head -> head == from).isPresent();
@@ -92,7 +94,7 @@
      * A report comes from an edge of ours, then goes to all our edges and to the peers; theirs pass
      * it to their edges only.
      */
-    void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
+    public void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
         var duty = in.text() + "/" + in.text();
         var reporter = in.text();
         if (chain.committed().overtaken(duty, in.i64())) {
--- a/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -11,8 +11,8 @@
 import java.util.function.LongSupplier;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.core.api.ControlApi;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -27,13 +27,13 @@
     private record Want(String key, String holder, long stamp, Consumer<byte[]> reply, long atUs) {}
 
     private final ChainMember chain;
-    private final ControlApi.OrderForwarder ask;
+    private final CommandSubmitter ask;
     private final LongSupplier clockUs;
     private final Map<String, Want> wants = new TreeMap<>();
     private final Map<String, Long> renewed = new HashMap<>();
     private final Set<String> writing = new HashSet<>();
 
-    public RoleLeaseService(ChainMember c, ControlApi.OrderForwarder ask, LongSupplier clockUs) {
+    public RoleLeaseService(ChainMember c, CommandSubmitter ask, LongSupplier clockUs) {
         chain = c;
         this.ask = ask;
         this.clockUs = clockUs;
@@ -87,7 +87,7 @@
                     Optional.ofNullable(chain.committed().duties.get(w.key))
                             .map(d -> d.grant)
                             .orElse(0L);
-            ask.ask(
+            ask.submit(
                     new ClusterState.Change(ClusterState.Act.DUTY, newest, w.key, w.holder),
                     (s, t) -> {
                         writing.remove(w.key);
--- a/core/src/main/java/martenloom/core/LoadExchange.java
+++ b/core/src/main/java/martenloom/core/load/LoadPublisher.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.load;
 
 import java.security.SecureRandom;
 import java.util.List;
@@ -9,33 +9,34 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
-import martenloom.core.load.LoadAggregator;
+import martenloom.core.edge.EdgeLinks;
+import martenloom.core.peer.CorePeerLinks;
 
 /**
  * Exchanges sums of load: takes the samples of the edges of this home, gives their sum to the other
  * homes, those of our region more often than the others, and gives the sum over all homes to the
  * edges. Runs on the reactor thread.
  */
-final class LoadExchange {
+public final class LoadPublisher {
     private static final int FAR_TURNS = 5;
     private static final int QUIET_TURNS = 5;
 
     private final Settings settings;
-    private final CorePeers peers;
-    private final HomeLinks homes;
+    private final CorePeerLinks peers;
+    private final EdgeLinks homes;
     private final LoadAggregator aggregator = new LoadAggregator();
     private final long life = new SecureRandom().nextLong();
     private long turns;
     private long toldVersion = -1;
 
-    LoadExchange(Settings settings, CorePeers peers, HomeLinks homes) {
+    public LoadPublisher(Settings settings, CorePeerLinks peers, EdgeLinks homes) {
         this.settings = settings;
         this.peers = peers;
         this.homes = homes;
     }
 
     /** One turn: sends our sum to the homes, and the whole sum to our edges if it has changed. */
-    void exchange() {
+    public void exchange() {
         var now = Clocks.nowUs();
         turns++;
         var own = aggregator.own(now);
@@ -78,7 +79,7 @@
     }
 
     /** The load of an edge. */
-    void onSample(RecordReader in) {
+    public void onSample(RecordReader in) {
         var edgeIp = in.text();
         var edgeLife = in.i64();
         var sequence = in.i64();
@@ -89,7 +90,7 @@
     }
 
     /** The sum of the edges of another home. */
-    void onHomeSum(RecordReader in) {
+    public void onHomeSum(RecordReader in) {
         var homeIp = in.text();
         var homeLife = in.i64();
         var sequence = in.i64();
@@ -108,7 +109,7 @@
     }
 
     /** An edge has left this home; its last sample no longer counts. */
-    void edgeLost(String edgeIp) {
+    public void edgeLost(String edgeIp) {
         aggregator.lapse(edgeIp);
     }
 }
--- a/core/src/main/java/martenloom/core/OrderlyLeave.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.membership;
 
 import io.activej.eventloop.Eventloop;
 import io.activej.http.HttpHeaders;
@@ -9,8 +9,8 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
-import martenloom.core.api.ControlApi;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -18,9 +18,9 @@
  * head is asked to let this member go, and the process ends when a chain without it is active, or
  * shortly before the grace period ends.
  */
-final class OrderlyLeave {
+public final class GracefulShutdown {
     /** What edges are told about the age of our knowledge, so that they choose another home. */
-    static final long FAR_TOO_OLD_US = 3_600_000_000L;
+    public static final long FAR_TOO_OLD_US = 3_600_000_000L;
 
     private static final long ASK_AGAIN_US = 200_000;
 
@@ -36,7 +36,7 @@
     private final Eventloop loop;
     private final Settings settings;
     private final ChainMember chain;
-    private final ControlApi.OrderForwarder orders;
+    private final CommandSubmitter orders;
     private final BooleanSupplier owesAnswers;
     private volatile boolean begun;
     private boolean taken;
@@ -44,11 +44,11 @@
     private long endUs;
     private volatile long releasedUs;
 
-    OrderlyLeave(
+    public GracefulShutdown(
             Eventloop loop,
             Settings settings,
             ChainMember chain,
-            ControlApi.OrderForwarder orders,
+            CommandSubmitter orders,
             BooleanSupplier owesAnswers) {
         this.loop = loop;
         this.settings = settings;
@@ -57,7 +57,7 @@
         this.owesAnswers = owesAnswers;
     }
 
-    boolean begun() {
+    public boolean begun() {
         return begun;
     }
 
@@ -65,7 +65,7 @@
      * Called from another thread; returns when the process may end, and says whether the chain does
      * without this member, so that it ends in order.
      */
-    boolean run() {
+    public boolean run() {
         var done = new CountDownLatch(1);
         var graceUs = (long) (settings.bounds.graceS * 1_000_000);
         urgentUs = Clocks.nowUs() + (long) (graceUs * WAITS_SHARE);
@@ -96,7 +96,7 @@
         if (releasedUs == 0) {
             var urgency = now < urgentUs ? ClusterState.LEAVE_SOON : ClusterState.LEAVE_NOW;
             var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, settings.ip, "");
-            orders.ask(order, (status, text) -> taken |= status == 200);
+            orders.submit(order, (status, text) -> taken |= status == 200);
         }
         Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
     }
@@ -113,7 +113,7 @@
     }
 
     /** The answer to every caller from now on. */
-    static HttpResponse goElsewhere() {
+    public static HttpResponse goElsewhere() {
         return HttpResponse.ofCode(503)
                 .withHeader(HttpHeaders.CONNECTION, "close")
                 .withHeader(HttpHeaders.RETRY_AFTER, "1")
--- a/core/src/main/java/martenloom/core/CorePeers.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.peer;
 
 import io.activej.eventloop.Eventloop;
 import java.util.Collection;
@@ -17,6 +17,7 @@
 import martenloom.common.link.PeerLinks;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.registry.RegistryCheckpoint;
 
 /**
  * The outgoing links to the other core daemons, and the region that each has told. There is one
@@ -24,7 +25,7 @@
  * been reached for a while. A record for a peer that is not reached is dropped. Runs on the reactor
  * thread.
  */
-final class CorePeers {
+public final class CorePeerLinks {
     private static final long REDIAL_US = 200_000;
     private static final long SILENCE_US = 2_000_000;
 
@@ -34,7 +35,7 @@
     private final Eventloop loop;
     private final Settings settings;
     private final ChainMember chain;
-    private final FleetMemory memory;
+    private final RegistryCheckpoint memory;
     private final PeerLinks.Handler handler;
     private final Map<String, PeerLinks.Dial> dials = new TreeMap<>();
     private final Map<String, Long> reachedUs = new HashMap<>();
@@ -44,11 +45,11 @@
     /**
      * @param handler gets what arrives on the links
      */
-    CorePeers(
+    public CorePeerLinks(
             Eventloop loop,
             Settings settings,
             ChainMember chain,
-            FleetMemory memory,
+            RegistryCheckpoint memory,
             PeerLinks.Handler handler) {
         this.loop = loop;
         this.settings = settings;
@@ -57,7 +58,7 @@
         this.handler = handler;
     }
 
-    static List<String> seedIps(Settings settings) {
+    public static List<String> seedIps(Settings settings) {
         return settings.seeds.stream()
                 .map(seed -> seed.substring(0, seed.lastIndexOf(':')))
                 .distinct()
@@ -67,7 +68,7 @@
     // ---- links
 
     /** Opens the link to a peer, unless there is one already. */
-    void dial(String ip) {
+    public void dial(String ip) {
         if (ip.equals(settings.ip) || dials.containsKey(ip)) {
             return;
         }
@@ -77,21 +78,21 @@
                 new PeerLinks.Dial(loop, address, REDIAL_US, link -> link.send(hello()), handler));
     }
 
-    void dialAll(Collection<String> ips) {
+    public void dialAll(Collection<String> ips) {
         ips.forEach(this::dial);
     }
 
-    void dialSeeds() {
+    public void dialSeeds() {
         dialAll(seedIps(settings));
     }
 
     /** Gives up the links on which nothing was heard for a while; they are opened again. */
-    void closeSilent() {
+    public void closeSilent() {
         dials.values().forEach(dial -> dial.check(SILENCE_US));
     }
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
-    void forgetGone(long now) {
+    public void forgetGone(long now) {
         var needed = new TreeSet<>(chain.memberState().state.roster);
         needed.addAll(chain.committed().roster);
         needed.addAll(seedIps(settings));
@@ -106,26 +107,26 @@
         }
     }
 
-    void stop() {
+    public void stop() {
         dials.values().forEach(PeerLinks.Dial::stop);
     }
 
     /** The peers that are dialed, whether they are reached or not; follows the changes. */
-    Set<String> dialed() {
+    public Set<String> dialed() {
         return Collections.unmodifiableSet(dials.keySet());
     }
 
-    Optional<PeerLinks.Link> link(String ip) {
+    public Optional<PeerLinks.Link> link(String ip) {
         return Optional.ofNullable(dials.get(ip)).flatMap(PeerLinks.Dial::link);
     }
 
     /** The link to the head of the moment. */
-    Optional<PeerLinks.Link> headLink() {
+    public Optional<PeerLinks.Link> headLink() {
         return link(chain.head());
     }
 
     /** The roster and who is reached beside it: where an edge or a new core daemon may turn to. */
-    Collection<String> reachable() {
+    public Collection<String> reachable() {
         var ips = new TreeSet<>(chain.committed().roster);
         dials.forEach((ip, dial) -> dial.link().ifPresent(link -> ips.add(ip)));
         ips.add(settings.ip);
@@ -134,23 +135,23 @@
 
     // ---- sending
 
-    void send(String ip, byte[] record) {
+    public void send(String ip, byte[] record) {
         link(ip).ifPresent(link -> link.send(record));
     }
 
-    void sendAll(byte[] record) {
+    public void sendAll(byte[] record) {
         dials.values().forEach(dial -> dial.send(record));
     }
 
     /** Sends to one of the peers that are reached, each in its turn. */
-    void sendToNext(byte[] record) {
+    public void sendToNext(byte[] record) {
         var reached = dials.values().stream().filter(dial -> dial.link().isPresent()).toList();
         if (!reached.isEmpty()) {
             reached.get(turn++ % reached.size()).send(record);
         }
     }
 
-    void sendHello() {
+    public void sendHello() {
         sendAll(hello());
     }
 
@@ -165,7 +166,7 @@
     }
 
     /** A peer makes itself known: it is told whom we reach, and is dialed in return. */
-    void onHello(PeerLinks.Link link, RecordReader in) {
+    public void onHello(PeerLinks.Link link, RecordReader in) {
         link.peer = in.text();
         regions.put(link.peer, in.text());
         memory.sawEdges(in.i32());
@@ -177,12 +178,12 @@
     // ---- regions
 
     /** Whether a peer has made itself known as one of our region. */
-    boolean ofOurRegion(String ip) {
+    public boolean ofOurRegion(String ip) {
         return settings.region.equals(regions.getOrDefault(ip, ""));
     }
 
     /** How many core daemons of our region have made themselves known, ourselves with them. */
-    int homesInRegion() {
+    public int homesInRegion() {
         var others =
                 regions.keySet().stream()
                         .filter(ip -> ofOurRegion(ip) && !ip.equals(settings.ip))
@@ -194,7 +195,7 @@
      * A region in which a member of the roster lies although it is not allowed; "unknown" when the
      * region of a member is not known, empty when all lie in allowed regions.
      */
-    String regionOutside(Set<String> allowed) {
+    public String regionOutside(Set<String> allowed) {
         for (var member : chain.committed().roster) {
             var region =
                     member.equals(settings.ip) ? settings.region : regions.getOrDefault(member, "");
--- a/core/src/main/java/martenloom/core/PeerRequests.java
+++ b/core/src/main/java/martenloom/core/peer/PeerRequests.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.peer;
 
 import java.security.SecureRandom;
 import java.util.function.BiConsumer;
@@ -15,12 +15,12 @@
  * links. Every caller is told exactly once, as {@link PendingRequests} guarantees. Runs on the
  * reactor thread.
  */
-final class PeerRequests {
+public final class PeerRequests {
     private final PendingRequests<PeerLinks.Link> pending =
             new PendingRequests<>(new SecureRandom().nextLong());
 
     /** Sends a request: a record of this type with the id of the request before its body. */
-    PendingRequests.RequestId send(
+    public PendingRequests.RequestId send(
             PeerLinks.Link link,
             int recordType,
             Consumer<RecordWriter> body,
@@ -34,27 +34,28 @@
     }
 
     /** Gives up a request that had no answer in time; does nothing if it was answered. */
-    void expire(PendingRequests.RequestId id, String why) {
+    public void expire(PendingRequests.RequestId id, String why) {
         pending.expire(id, why);
     }
 
-    void onAnswer(PeerLinks.Link link, RecordReader in) {
+    public void onAnswer(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         if (!pending.answered(id, link, in.i32(), in.text())) {
             RingLog.note("link " + link.peer + ": an answer to no request of ours is dropped");
         }
     }
 
-    void onClosed(PeerLinks.Link link) {
+    public void onClosed(PeerLinks.Link link) {
         pending.closed(link, "the link to " + link.peer + " closed before an answer");
     }
 
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return pending.size() == 0;
     }
 
     /** Answers a request on the link on which it came, under the id that its sender gave it. */
-    static void answer(PeerLinks.Link link, PendingRequests.RequestId id, int status, String text) {
+    public static void answer(
+            PeerLinks.Link link, PendingRequests.RequestId id, int status, String text) {
         var out = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(out);
         link.send(out.i32(status).text(text).bytes());
--- a/core/src/main/java/martenloom/core/registry/MajorityReceipt.java
+++ b/core/src/main/java/martenloom/core/registry/QuorumAcknowledgement.java
@@ -9,14 +9,14 @@
  * Waits until a majority of the roster has confirmed one piece of news, and tells the outcome once:
  * true as soon as a majority has it, false when the time is up before.
  */
-public final class MajorityReceipt {
+public final class QuorumAcknowledgement {
     private final Set<String> roster;
     private final Set<String> received = new TreeSet<>();
     private final Consumer<Boolean> outcome;
     private boolean decided;
 
     /** Counts nobody yet; the sender counts as a receiver only when it confirms to itself. */
-    public MajorityReceipt(Collection<String> roster, Consumer<Boolean> outcome) {
+    public QuorumAcknowledgement(Collection<String> roster, Consumer<Boolean> outcome) {
         this.roster = Set.copyOf(roster);
         this.outcome = outcome;
     }
--- a/core/src/main/java/martenloom/core/FleetMemory.java
+++ b/core/src/main/java/martenloom/core/registry/RegistryCheckpoint.java
@@ -1,11 +1,10 @@
-package martenloom.core;
+package martenloom.core.registry;
 
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.error.MartenloomException;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
-import martenloom.core.registry.Registry;
 import martenloom.core.storage.VersionedStore;
 
 /**
@@ -14,7 +13,7 @@
  * on disk that cannot be read is passed over. Runs on the reactor thread; the writing itself is
  * done in the background.
  */
-final class FleetMemory {
+public final class RegistryCheckpoint {
     private static final String NOTE = "replicas";
 
     private final VersionedStore store;
@@ -25,7 +24,7 @@
     private int mostHomes = 1;
 
     /** Reads the note on disk and puts its replicas into the registry. */
-    FleetMemory(Settings settings, VersionedStore store, Registry registry) {
+    public RegistryCheckpoint(Settings settings, VersionedStore store, Registry registry) {
         this.store = store;
         this.registry = registry;
         var coldUs = settings.beatMs * 2000L;
@@ -47,29 +46,29 @@
     }
 
     /** Whether replicas were found on disk at the start. */
-    boolean restored() {
+    public boolean restored() {
         return restored;
     }
 
-    int mostEdges() {
+    public int mostEdges() {
         return mostEdges;
     }
 
-    int mostHomes() {
+    public int mostHomes() {
         return mostHomes;
     }
 
     /** Takes over what another core daemon knows of the number of edges. */
-    void sawEdges(int edges) {
+    public void sawEdges(int edges) {
         mostEdges = Math.max(mostEdges, edges);
     }
 
-    void sawHomes(int homes) {
+    public void sawHomes(int homes) {
         mostHomes = Math.max(mostHomes, homes);
     }
 
     /** Writes the note again when it has changed. */
-    void keep() {
+    public void keep() {
         var digest = (registry.noteDigest() * 31 + mostEdges) * 31 + mostHomes;
         if (digest != writtenDigest) {
             writtenDigest = digest;
--- a/core/src/main/java/martenloom/core/ReplicaNews.java
+++ b/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.registry;
 
 import io.activej.eventloop.Eventloop;
 import java.util.ArrayList;
@@ -10,15 +10,16 @@
 import martenloom.common.link.PendingRequests;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
-import martenloom.core.registry.MajorityReceipt;
-import martenloom.core.registry.Registry;
+import martenloom.core.edge.EdgeLinks;
+import martenloom.core.peer.CorePeerLinks;
+import martenloom.core.peer.PeerRequests;
 
 /**
  * Carries changes of the registry to the other core daemons and to the edges of this home. News
  * that a replica drains or has ended goes out at once, and is confirmed by a majority of the roster
  * or reported as unconfirmed. Runs on the reactor thread.
  */
-final class ReplicaNews {
+public final class ReplicaUpdatePublisher {
     /**
      * How long confirmations are waited for; the replica that asks takes an answer for a second.
      */
@@ -28,18 +29,18 @@
     private final Settings settings;
     private final ChainMember chain;
     private final Registry registry;
-    private final CorePeers peers;
+    private final CorePeerLinks peers;
     private final PeerRequests peerRequests;
-    private final HomeLinks homes;
+    private final EdgeLinks homes;
 
-    ReplicaNews(
+    public ReplicaUpdatePublisher(
             Eventloop loop,
             Settings settings,
             ChainMember chain,
             Registry registry,
-            CorePeers peers,
+            CorePeerLinks peers,
             PeerRequests peerRequests,
-            HomeLinks homes) {
+            EdgeLinks homes) {
         this.loop = loop;
         this.settings = settings;
         this.chain = chain;
@@ -50,14 +51,14 @@
     }
 
     /** Sends what has changed since the last flood to all peers and edges. */
-    void flood() {
+    public void flood() {
         var now = Clocks.nowUs();
         registry.pollFlood(now).ifPresent(peers::sendAll);
         tellHomes(now);
     }
 
     /** Sends the rows that have changed to the edges of this home. */
-    void tellHomes(long now) {
+    public void tellHomes(long now) {
         var changed = registry.pollChanged();
         if (!changed.isEmpty()) {
             homes.sendAll(registry.rows(changed, false, now));
@@ -69,9 +70,9 @@
      * the roster confirmed it in time. Those that confirm tell their edges and the other daemons,
      * so an edge that does not hear of it has lost its home and is about to leave it.
      */
-    void tellMajority(String replica, Consumer<Boolean> confirmed) {
+    public void tellMajority(String replica, Consumer<Boolean> confirmed) {
         var roster = chain.committed().roster;
-        var receipt = new MajorityReceipt(roster, confirmed);
+        var receipt = new QuorumAcknowledgement(roster, confirmed);
         var rows = registry.rowFlood(replica, Clocks.nowUs());
         var sent = new ArrayList<PendingRequests.RequestId>();
         for (var member : roster) {
@@ -107,7 +108,7 @@
      * Rows from another daemon, as old as their sender says and for as long as they were under way.
      * Ends are told on at once.
      */
-    void onFlood(PeerLinks.Link link, RecordReader in) {
+    public void onFlood(PeerLinks.Link link, RecordReader in) {
         var now = Clocks.nowUs();
         registry.takeFlood(in, now - link.delay.measure(in.i64(), now));
         if (registry.endsChanged()) {
@@ -116,19 +117,19 @@
     }
 
     /** Rows whose sender waits until they have been taken here. */
-    void onConfirmedFlood(PeerLinks.Link link, RecordReader in) {
+    public void onConfirmedFlood(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         onFlood(link, new RecordReader(in.blob(), true));
         PeerRequests.answer(link, id, 200, "");
     }
 
     /** Sends the digests of our rows to one peer, which answers with what we lack. */
-    void sendDigests() {
+    public void sendDigests() {
         peers.sendToNext(registry.digests());
     }
 
     /** Answers the digests of a peer with the rows that differ. */
-    void onDigests(PeerLinks.Link link, RecordReader in) {
+    public void onDigests(PeerLinks.Link link, RecordReader in) {
         registry.mend(in, Clocks.nowUs()).ifPresent(rows -> peers.send(link.peer, rows));
     }
 }
--- a/core/src/main/java/martenloom/core/ColdSends.java
+++ b/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.warmup;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,8 +8,11 @@
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
-import martenloom.core.registry.ColdSendLeases;
+import martenloom.core.configuration.CompiledRoutes;
+import martenloom.core.edge.EdgeLinks;
+import martenloom.core.peer.CorePeerLinks;
 import martenloom.core.registry.Registry;
+import martenloom.core.registry.RegistryCheckpoint;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -17,7 +20,7 @@
  * when there are more edges than sends: each home lends its share, so that all homes together do
  * not lend more than the replica takes. Runs on the reactor thread.
  */
-final class ColdSends {
+public final class WarmupPermitLender {
     /**
      * Edges use even shares up to as many edges as sends; homes lend only when there are clearly
      * more, so that no two ways add up.
@@ -28,19 +31,19 @@
     private final ChainMember chain;
     private final Registry registry;
     private final CompiledRoutes routes;
-    private final FleetMemory memory;
-    private final CorePeers peers;
-    private final HomeLinks homes;
-    private final ColdSendLeases leases;
+    private final RegistryCheckpoint memory;
+    private final CorePeerLinks peers;
+    private final EdgeLinks homes;
+    private final WarmupPermits leases;
 
-    ColdSends(
+    public WarmupPermitLender(
             Settings settings,
             ChainMember chain,
             Registry registry,
             CompiledRoutes routes,
-            FleetMemory memory,
-            CorePeers peers,
-            HomeLinks homes,
+            RegistryCheckpoint memory,
+            CorePeerLinks peers,
+            EdgeLinks homes,
             boolean firstStart) {
         this.settings = settings;
         this.chain = chain;
@@ -49,13 +52,13 @@
         this.memory = memory;
         this.peers = peers;
         this.homes = homes;
-        leases = new ColdSendLeases(Clocks.nowUs(), firstStart);
+        leases = new WarmupPermits(Clocks.nowUs(), firstStart);
     }
 
     /**
      * What an edge may send to each of these cold replicas; those of which it gets none left out.
      */
-    Map<String, Integer> lend(EdgeRecord edge, List<String> coldReplicas, long now) {
+    public Map<String, Integer> lend(EdgeRecord edge, List<String> coldReplicas, long now) {
         var lent = new LinkedHashMap<String, Integer>();
         if (!edge.region.equals(settings.region) || edge.leaving) {
             return lent;
@@ -89,7 +92,7 @@
                 .orElse(0);
     }
 
-    void sweep(long now) {
+    public void sweep(long now) {
         leases.sweep(now);
     }
 }
--- a/core/src/main/java/martenloom/core/registry/ColdSendLeases.java
+++ b/core/src/main/java/martenloom/core/warmup/WarmupPermits.java
@@ -1,4 +1,4 @@
-package martenloom.core.registry;
+package martenloom.core.warmup;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * while edges change their home. A home that has just started lends nothing until whatever its
  * former life lent has ended.
  */
-public final class ColdSendLeases {
+public final class WarmupPermits {
     /** How long an edge may use what it was lent, from when it asked. */
     public static final long LEASE_US = 1_600_000;
 
@@ -25,7 +25,7 @@
     private final Map<String, Map<String, Leased>> byReplica = new HashMap<>();
     private final long opensUs;
 
-    public ColdSendLeases(long now, boolean firstStart) {
+    public WarmupPermits(long now, boolean firstStart) {
         opensUs = firstStart ? now : now + HOLD_US;
     }
 
--- a/core/src/test/java/martenloom/core/registry/MajorityReceiptTest.java
+++ b/core/src/test/java/martenloom/core/registry/QuorumAcknowledgementTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** When a majority is said to know. */
-final class MajorityReceiptTest {
+final class QuorumAcknowledgementTest {
     private final List<Boolean> told = new ArrayList<>();
 
     @Test
     void aMajorityOfTheRosterDecidesOnce() {
-        var receipt = new MajorityReceipt(List.of("a", "b", "c", "d"), told::add);
+        var receipt = new QuorumAcknowledgement(List.of("a", "b", "c", "d"), told::add);
         receipt.receivedBy("a");
         receipt.receivedBy("b");
         receipt.receivedBy("b");
@@ -26,7 +26,7 @@
 
     @Test
     void lateReceiptsDoNotUndoAFailure() {
-        var receipt = new MajorityReceipt(List.of("a"), told::add);
+        var receipt = new QuorumAcknowledgement(List.of("a"), told::add);
         receipt.timedOut();
         receipt.receivedBy("a");
         assertEquals(List.of(false), told);
--- a/core/src/test/java/martenloom/core/registry/ColdSendLeasesTest.java
+++ b/core/src/test/java/martenloom/core/warmup/WarmupPermitsTest.java
@@ -1,4 +1,4 @@
-package martenloom.core.registry;
+package martenloom.core.warmup;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,18 +14,18 @@
  * What homes lend at a cold replica never adds up to more than the rule in any second, whoever
  * comes and goes.
  */
-final class ColdSendLeasesTest {
+final class WarmupPermitsTest {
     private static final long S = 1_000_000;
 
     @Test
     void fewEdgesShareEvenlyAndManyInTurn() {
-        var w = new ColdSendLeases(0, true);
+        var w = new WarmupPermits(0, true);
         assertEquals(5, w.lend("r", "a", 17, 3, 0));
         assertEquals(5, w.lend("r", "b", 17, 3, 0));
         assertEquals(5, w.lend("r", "c", 17, 3, 0));
         assertEquals(2, w.lend("r", "late", 17, 4, 0), "what is left");
         assertEquals(0, w.lend("r", "later", 17, 5, 0));
-        var many = new ColdSendLeases(0, true);
+        var many = new WarmupPermits(0, true);
         var n = 0;
         for (var i = 0; i < 40; i++) {
             n += many.lend("r", "e" + i, 22, 40, 0);
@@ -33,15 +33,15 @@
         assertEquals(22, n);
         assertEquals(
                 1,
-                many.lend("r", "e39", 22, 40, ColdSendLeases.HOLD_US + 1),
+                many.lend("r", "e39", 22, 40, WarmupPermits.HOLD_US + 1),
                 "free again when nobody asks any more");
     }
 
     @Test
     void aRestartedHomeLendsNothingUntilWhatItLentHasEnded() {
-        var w = new ColdSendLeases(10 * S, false);
+        var w = new WarmupPermits(10 * S, false);
         assertEquals(0, w.lend("r", "a", 17, 3, 12 * S));
-        assertEquals(5, w.lend("r", "a", 17, 3, 10 * S + ColdSendLeases.HOLD_US));
+        assertEquals(5, w.lend("r", "a", 17, 3, 10 * S + WarmupPermits.HOLD_US));
     }
 
     @ParameterizedTest
@@ -49,7 +49,7 @@
     void inNoSecondIsMoreSentThanTheShare(long seed) {
         var r = new Random(seed);
         var share = 3 + r.nextInt(20);
-        var w = new ColdSendLeases(0, true);
+        var w = new WarmupPermits(0, true);
         var until = new HashMap<String, Long>();
         var lent = new HashMap<String, Integer>();
         var sends = new ArrayDeque<Long>();
@@ -63,7 +63,7 @@
                 var e = "e" + i;
                 if (r.nextInt(40) == 0) {
                     lent.put(e, w.lend("r", e, share, edges, now));
-                    until.put(e, now + ColdSendLeases.LEASE_US);
+                    until.put(e, now + WarmupPermits.LEASE_US);
                 }
             }
             for (var e : lent.keySet()) {
