--- a/core/src/test/java/martenloom/core/FleetMemoryGoldenTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
@@ -1,4 +1,4 @@
-package martenloom.core;
+package martenloom.core.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,7 +16,6 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
 import martenloom.core.golden.GoldenFile;
-import martenloom.core.registry.Registry;
 import martenloom.core.storage.VersionedStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -26,7 +25,7 @@
  * writes the same note again. The ages and remainders in a row are left out of that, since they are
  * counted from the moment of the writing, and whether it is silent, which a restart forgets.
  */
-final class FleetMemoryGoldenTest {
+final class RegistryCheckpointGoldenTest {
     private static final String NOTE = "replicas";
     private static final int BEAT_MS = 300;
     private static final long COLD_US = 600_000;
@@ -79,11 +78,11 @@
     void theRecordedNoteIsTakenAsItStands() throws IOException {
         putRecordedNote();
         var beforeUs = Clocks.nowUs();
-        var memory = new FleetMemory(SETTINGS, store(), registry);
+        var checkpoint = new RegistryCheckpoint(SETTINGS, store(), registry);
         var afterUs = Clocks.nowUs();
-        assertTrue(memory.restored());
-        assertEquals(17, memory.mostEdges());
-        assertEquals(3, memory.mostHomes());
+        assertTrue(checkpoint.restored());
+        assertEquals(17, checkpoint.mostEdges());
+        assertEquals(3, checkpoint.mostHomes());
         var replicas =
                 registry.replicas().stream()
                         .collect(Collectors.toMap(replica -> replica.id, replica -> replica));
@@ -124,9 +123,9 @@
         putRecordedNote();
         var store = store();
         var recorded = store.note(NOTE).orElseThrow();
-        var memory = new FleetMemory(SETTINGS, store, registry);
+        var checkpoint = new RegistryCheckpoint(SETTINGS, store, registry);
         Files.delete(folder.resolve(NOTE));
-        memory.keep();
+        checkpoint.keep();
         store.flush(FLUSH_MS);
         var written = store().note(NOTE).orElseThrow();
         assertEquals(recorded.length, written.length);
