--- a/common/src/test/java/martenloom/common/codec/CodecGoldenTest.java
+++ b/common/src/test/java/martenloom/common/codec/CodecGoldenTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
-import martenloom.common.error.Fault;
+import martenloom.common.error.MartenloomException;
 import martenloom.common.golden.GoldenBytes;
 import martenloom.common.link.PendingRequests;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
     private final GoldenBytes golden = new GoldenBytes("codec.txt");
 
     private static byte[] everyField() {
-        return new Codec.Out(200)
+        return new RecordWriter(200)
                 .u8(255)
                 .i32(-2)
                 .i16(-1)
@@ -32,19 +32,19 @@
                 .blob(new byte[] {1, 2, 3})
                 .raw(new byte[] {9})
                 .texts(List.of("one", ""))
-                .list(List.of(5, 6), Codec.Out::i32)
+                .list(List.of(5, 6), RecordWriter::i32)
                 .bytes();
     }
 
     private static byte[] requestId() {
-        var out = new Codec.Out();
+        var out = new RecordWriter();
         new PendingRequests.RequestId(-7, 8).write(out);
         return out.bytes();
     }
 
     private String fault(byte[] record) {
-        var in = new Codec.In(record, true);
-        return assertThrows(Fault.class, in::text).getMessage();
+        var in = new RecordReader(record, true);
+        return assertThrows(MartenloomException.class, in::text).getMessage();
     }
 
     @Test
@@ -55,8 +55,8 @@
 
     @Test
     void recordedFieldsAreDecoded() {
-        var in = new Codec.In(golden.bytes("every-field"), true);
-        assertEquals(200, in.type);
+        var in = new RecordReader(golden.bytes("every-field"), true);
+        assertEquals(200, in.type());
         assertEquals(255, in.u8());
         assertEquals(-2, in.i32());
         assertEquals(0, in.i16());
@@ -70,22 +70,24 @@
         assertArrayEquals(new byte[] {1, 2, 3}, in.blob());
         assertEquals(9, in.u8());
         assertEquals(List.of("one", ""), in.texts());
-        assertEquals(List.of(5, 6), in.list(Codec.In::i32));
-        var id = PendingRequests.RequestId.read(new Codec.In(golden.bytes("request-id"), false));
+        assertEquals(List.of(5, 6), in.list(RecordReader::i32));
+        var id =
+                PendingRequests.RequestId.read(new RecordReader(golden.bytes("request-id"), false));
         assertEquals(new PendingRequests.RequestId(-7, 8), id);
     }
 
     @Test
     void tornRecordsAreFaultsWithRecordedTexts() {
-        var whole = new Codec.Out(61).text("word").bytes();
+        var whole = new RecordWriter(61).text("word").bytes();
         golden.check("fault.short-length", utf8(fault(Arrays.copyOf(whole, 3))));
-        golden.check("fault.length-out-of-bounds", utf8(fault(new Codec.Out(61).i32(99).bytes())));
-        golden.check("fault.negative-length", utf8(fault(new Codec.Out(61).i32(-1).bytes())));
-        golden.check("fault.cut-text", utf8(fault(new Codec.Out(61).i32(4).u8(1).bytes())));
-        var in = new Codec.In(new Codec.Out(62).i32(99).bytes(), true);
+        golden.check(
+                "fault.length-out-of-bounds", utf8(fault(new RecordWriter(61).i32(99).bytes())));
+        golden.check("fault.negative-length", utf8(fault(new RecordWriter(61).i32(-1).bytes())));
+        golden.check("fault.cut-text", utf8(fault(new RecordWriter(61).i32(4).u8(1).bytes())));
+        var in = new RecordReader(new RecordWriter(62).i32(99).bytes(), true);
         golden.check(
                 "fault.count-out-of-bounds",
-                utf8(assertThrows(Fault.class, in::texts).getMessage()));
+                utf8(assertThrows(MartenloomException.class, in::texts).getMessage()));
     }
 
     private static byte[] utf8(String text) {
--- a/common/src/test/java/martenloom/common/fleet/FleetRecordsGoldenTest.java
+++ b/common/src/test/java/martenloom/common/fleet/FleetRecordsGoldenTest.java
@@ -5,7 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.ByteBuffer;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.golden.GoldenBytes;
 import org.junit.jupiter.api.Test;
 
@@ -17,8 +18,8 @@
 
     // ---- the values
 
-    private static FleetRecords.Replica warmReplica() {
-        var replica = new FleetRecords.Replica();
+    private static ReplicaRecord warmReplica() {
+        var replica = new ReplicaRecord();
         replica.id = "replica-1";
         replica.service = "chat";
         replica.address = "10.9.3.10:9000";
@@ -30,7 +31,7 @@
         return replica;
     }
 
-    private static FleetRecords.Replica endingReplica() {
+    private static ReplicaRecord endingReplica() {
         var replica = warmReplica();
         replica.id = "réplica-2";
         replica.draining = true;
@@ -42,8 +43,8 @@
         return replica;
     }
 
-    private static FleetRecords.Edge readyEdge() {
-        var edge = new FleetRecords.Edge();
+    private static EdgeRecord readyEdge() {
+        var edge = new EdgeRecord();
         edge.ip = "10.9.2.10";
         edge.name = "edge-north-1";
         edge.zone = "north-a";
@@ -57,7 +58,7 @@
         return edge;
     }
 
-    private static FleetRecords.Edge leavingEdge() {
+    private static EdgeRecord leavingEdge() {
         var edge = readyEdge();
         edge.ready = false;
         edge.leaving = true;
@@ -65,24 +66,24 @@
         return edge;
     }
 
-    private static byte[] encoded(FleetRecords.Replica replica) {
-        var out = new Codec.Out();
+    private static byte[] encoded(ReplicaRecord replica) {
+        var out = new RecordWriter();
         replica.write(out, NOW_US);
         return out.bytes();
     }
 
-    private static byte[] encoded(FleetRecords.Edge edge) {
-        var out = new Codec.Out();
+    private static byte[] encoded(EdgeRecord edge) {
+        var out = new RecordWriter();
         edge.write(out, NOW_US);
         return out.bytes();
     }
 
-    private FleetRecords.Replica replica(String name) {
-        return FleetRecords.Replica.read(new Codec.In(golden.bytes(name), false), NOW_US);
+    private ReplicaRecord replica(String name) {
+        return ReplicaRecord.read(new RecordReader(golden.bytes(name), false), NOW_US);
     }
 
-    private FleetRecords.Edge edge(String name) {
-        return FleetRecords.Edge.read(new Codec.In(golden.bytes(name), false), NOW_US);
+    private EdgeRecord edge(String name) {
+        return EdgeRecord.read(new RecordReader(golden.bytes(name), false), NOW_US);
     }
 
     private static byte[] numbers(int... numbers) {
@@ -99,7 +100,7 @@
     void replicasAreEncodedAsRecorded() {
         golden.check("replica.warm", encoded(warmReplica()));
         golden.check("replica.ending", encoded(endingReplica()));
-        golden.check("replica.default", encoded(new FleetRecords.Replica()));
+        golden.check("replica.default", encoded(new ReplicaRecord()));
     }
 
     @Test
@@ -151,11 +152,11 @@
         golden.check(
                 "ranges",
                 numbers(
-                        FleetRecords.RANGES,
-                        FleetRecords.range(""),
-                        FleetRecords.range("replica-1"),
-                        FleetRecords.range("réplica-2"),
-                        FleetRecords.range("10.9.2.10")));
+                        DigestRanges.COUNT,
+                        DigestRanges.of(""),
+                        DigestRanges.of("replica-1"),
+                        DigestRanges.of("réplica-2"),
+                        DigestRanges.of("10.9.2.10")));
     }
 
     @Test
@@ -163,27 +164,27 @@
         golden.check(
                 "types",
                 numbers(
-                        FleetRecords.FLOOD,
-                        FleetRecords.DIGEST,
-                        FleetRecords.ASK,
-                        FleetRecords.ANSWER,
-                        FleetRecords.DUTY_WANT,
-                        FleetRecords.DUTY_GRANT,
-                        FleetRecords.HELLO,
-                        FleetRecords.HEARD,
-                        FleetRecords.FLOOD_CONFIRMED,
-                        FleetRecords.RENEW,
-                        FleetRecords.NEWS,
-                        FleetRecords.CONFIGURATION,
-                        FleetRecords.REPLICAS,
-                        FleetRecords.RESYNC,
-                        FleetRecords.JOBS,
-                        FleetRecords.EDGE_ASK,
-                        FleetRecords.SAMPLE,
-                        FleetRecords.HOME_SUM,
-                        FleetRecords.WHOLE_SUM,
-                        FleetRecords.REPORT,
-                        FleetRecords.QUERY,
-                        FleetRecords.TEXT));
+                        RecordType.REGISTRY_UPDATE,
+                        RecordType.REGISTRY_DIGEST,
+                        RecordType.ORDER_REQUEST,
+                        RecordType.ORDER_RESPONSE,
+                        RecordType.LEASE_REQUEST,
+                        RecordType.LEASE_GRANT,
+                        RecordType.HELLO,
+                        RecordType.KNOWN_PEERS,
+                        RecordType.CONFIRMED_REGISTRY_UPDATE,
+                        RecordType.EDGE_LEASE_RENEWAL,
+                        RecordType.EDGE_LEASE_RESPONSE,
+                        RecordType.CONFIGURATION,
+                        RecordType.REPLICA_UPDATE,
+                        RecordType.RESYNC_REQUEST,
+                        RecordType.JOB_LIST,
+                        RecordType.EDGE_REQUEST,
+                        RecordType.LOAD_SAMPLE,
+                        RecordType.HOME_LOAD,
+                        RecordType.TOTAL_LOAD,
+                        RecordType.OVERLOAD_REPORT,
+                        RecordType.SHELL_QUERY,
+                        RecordType.SHELL_RESPONSE));
     }
 }
--- a/common/src/test/java/martenloom/common/jobs/JobGoldenTest.java
+++ b/common/src/test/java/martenloom/common/jobs/JobGoldenTest.java
@@ -6,7 +6,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.golden.GoldenBytes;
 import org.junit.jupiter.api.Test;
 
@@ -54,13 +55,13 @@
     }
 
     private static byte[] encoded(Job job) {
-        var out = new Codec.Out();
+        var out = new RecordWriter();
         job.write(out);
         return out.bytes();
     }
 
     private Job decoded(String name) {
-        return Job.read(new Codec.In(golden.bytes(name), false));
+        return Job.read(new RecordReader(golden.bytes(name), false));
     }
 
     // ---- the checks
--- a/common/src/test/java/martenloom/common/load/LoadSummaryGoldenTest.java
+++ b/common/src/test/java/martenloom/common/load/LoadSummaryGoldenTest.java
@@ -3,7 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.common.golden.GoldenBytes;
 import org.junit.jupiter.api.Test;
 
@@ -42,11 +43,11 @@
     }
 
     private static byte[] encoded(LoadSummary sum) {
-        return sum.write(new Codec.Out()).bytes();
+        return sum.write(new RecordWriter()).bytes();
     }
 
     private LoadSummary decoded(String name) {
-        return LoadSummary.read(new Codec.In(golden.bytes(name), false));
+        return LoadSummary.read(new RecordReader(golden.bytes(name), false));
     }
 
     // ---- the checks
--- a/edge/src/test/java/martenloom/edge/overload/OverloadReportGoldenTest.java
+++ b/edge/src/test/java/martenloom/edge/overload/OverloadReportGoldenTest.java
@@ -2,7 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import martenloom.common.codec.Codec;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
 import martenloom.edge.golden.GoldenBytes;
 import org.junit.jupiter.api.Test;
 
@@ -34,13 +35,13 @@
     }
 
     private static byte[] encoded(Overload.Report report) {
-        var out = new Codec.Out();
+        var out = new RecordWriter();
         report.write(out);
         return out.bytes();
     }
 
     private Overload.Report decoded(String name) {
-        return Overload.Report.read(new Codec.In(golden.bytes(name), false));
+        return Overload.Report.read(new RecordReader(golden.bytes(name), false));
     }
 
     @Test
