--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -35,6 +35,7 @@
 import martenloom.edge.jobs.JobRunner;
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.WarmupPermits;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.language.RoutingLanguage;
 
@@ -214,7 +215,7 @@
         return out.i64(now)
                 .text(duties.holder())
                 .texts(wantedDuties())
-                .texts(replicaTable.coldIn(settings.region, dispatcher.table(), now))
+                .texts(replicaTable.warmingUp(settings.region, dispatcher.table(), now))
                 .bytes();
     }
 
@@ -281,10 +282,12 @@
         home.onCores(in.texts(), staleUs);
         dispatcher.onEdges(mostEdges);
         jobsLive = in.flag();
-        replicaTable.lent(
-                home.ip(),
-                sentUs + in.i64(),
-                in.list(lease -> new ReplicaTable.Leased(lease.text(), lease.i32())));
+        replicaTable
+                .warmupPermits()
+                .onLease(
+                        home.ip(),
+                        sentUs + in.i64(),
+                        in.list(lease -> new WarmupPermits.Permit(lease.text(), lease.i32())));
         mismatches = digest == replicaTable.digest() && newsEdition <= edition ? 0 : mismatches + 1;
         if (mismatches > 2) {
             mismatches = 0;
@@ -304,7 +307,7 @@
         var table = dispatcher.table();
         var known =
                 table.services.keySet().stream()
-                        .allMatch(service -> !replicaTable.of(service).isEmpty());
+                        .allMatch(service -> !replicaTable.ofService(service).isEmpty());
         if (known && home.synced() && upUs > settings.beatMs * 1500L
                 || now - firstNewsUs > 3_000_000) {
             ready = true;
@@ -367,10 +370,10 @@
             var known = new HashSet<String>();
             replicas.forEach(replica -> known.add(replica.id));
             for (var slot : List.copyOf(replicaTable.all())) {
-                if (!known.contains(slot.row.id)
-                        && now - slot.heardUs > 10_000_000
-                        && slot.attempts.isEmpty()) {
-                    replicaTable.drop(slot);
+                if (!known.contains(slot.id())
+                        && now - slot.reachability().heardUs() > 10_000_000
+                        && slot.attemptCount() == 0) {
+                    replicaTable.remove(slot);
                 }
             }
         }
--- a/edge/src/main/java/martenloom/edge/LoadView.java
+++ b/edge/src/main/java/martenloom/edge/LoadView.java
@@ -51,19 +51,24 @@
     Optional<byte[]> part(long now) {
         var t = LoadSummary.ofEdge();
         for (var s : replicaTable.all()) {
-            var doubt = s.suspectUntilUs > now && s.doubtful || s.wondering;
-            var bad = s.health.bad(now);
-            var ok = s.health.ok(now);
-            if (s.mine > 0 || doubt || bad + ok > 0) {
-                var l = t.put(s.row.id, s.mine, s.unread, doubt);
+            var doubt = s.reachability().reportsSuspicion(now);
+            var bad = s.health().failures(now);
+            var ok = s.health().successes(now);
+            if (s.load().ownInFlight() > 0 || doubt || bad + ok > 0) {
+                var l =
+                        t.put(
+                                s.id(),
+                                s.load().ownInFlight(),
+                                s.load().ownPendingPrefillTokens(),
+                                doubt);
                 l.ok = ok;
                 l.bad = bad;
-                l.heard = !doubt && now - s.heardUs < HEARD_US ? 1 : 0;
+                l.heard = !doubt && now - s.reachability().heardUs() < HEARD_US ? 1 : 0;
             }
         }
         dispatcher.inFlight(t);
         var b = t.write(new RecordWriter()).bytes();
-        if (Arrays.equals(b, last) && dispatcher.places.told() && ++quiet < QUIET_TURNS) {
+        if (Arrays.equals(b, last) && dispatcher.places.isAllReported() && ++quiet < QUIET_TURNS) {
             return Optional.empty();
         }
         quiet = 0;
@@ -73,7 +78,7 @@
             told.remove(told.keySet().iterator().next());
         }
         var o = t.write(new RecordWriter(RecordType.LOAD_SAMPLE).text(ip).i64(life).i64(seq));
-        dispatcher.places.write(o);
+        dispatcher.places.writeUnreported(o);
         return Optional.of(o.bytes());
     }
 
@@ -81,20 +86,20 @@
         var mine = told.getOrDefault(in.i64(), new LoadSummary());
         whole = LoadSummary.read(in);
         wholeUs = now;
-        dispatcher.places.read(in);
+        dispatcher.places.readReported(in);
         var zone = LoadSummary.read(in);
         for (var s : replicaTable.all()) {
-            var a = whole.load(s.row.id);
-            var m = mine.load(s.row.id);
-            var h = zone.load(s.row.id);
-            s.others(
+            var a = whole.load(s.id());
+            var m = mine.load(s.id());
+            var h = zone.load(s.id());
+            s.onPeerTotals(
                     a.inHand - m.inHand,
                     a.unread - m.unread,
                     h.doubts - m.doubts,
                     h.heard - m.heard,
                     now);
             if (a.bad > 0) {
-                replicaTable.judge(s, a.ok, a.bad, h.ok, h.bad, now);
+                replicaTable.ejectIfOutlier(s, a.ok, a.bad, h.ok, h.bad, now);
             }
         }
     }
--- a/edge/src/main/java/martenloom/edge/OverloadReporting.java
+++ b/edge/src/main/java/martenloom/edge/OverloadReporting.java
@@ -83,29 +83,31 @@
         var n = 0;
         var known = 0;
         for (var s : dispatcher.replicaTable.all()) {
-            var svc = t.services.get(s.row.service);
+            var svc = t.services.get(s.service());
             if (svc == null
                     || !svc.engine
                     || !svc.model.equals(model)
-                    || !s.region.equals(settings.region)) {
+                    || !s.region().equals(settings.region)) {
                 continue;
             }
             known++;
-            if (s.row.gone
-                    || s.row.draining
-                    || s.row.silent
-                    || s.resting
-                    || dispatcher.evacuated().contains(s.row.zone)) {
+            if (s.isDeregistered()
+                    || s.isDraining()
+                    || s.isUnresponsive()
+                    || s.isUnloaded()
+                    || dispatcher.evacuated().contains(s.zone())) {
                 continue;
             }
-            var in = s.mine + s.othersInHand(now);
-            var cap = Math.max(1, s.row.capacity);
+            var in = s.load().inFlight(now);
+            var cap = Math.max(1, s.capacity());
             var us =
                     20_000
-                            + (s.unread + s.othersUnread(now)) / s.rate * 1000
+                            + (s.load().pendingPrefillTokens(now))
+                                    / s.latency().prefillTokensPerMs()
+                                    * 1000
                             + in * 700.0
                             + (in > cap ? (in - cap) * 15_000.0 : 0);
-            sum += now < s.suspectUntilUs ? aim : us;
+            sum += s.reachability().isSuspected(now) ? aim : us;
             n++;
         }
         return known == 0 ? 0 : n == 0 ? 4 : sum / n / aim;
--- a/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
+++ b/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
@@ -69,8 +69,8 @@
     }
 
     private boolean hasReplicaInRegion(RouteTable.Service service) {
-        return dispatcher.replicaTable.of(service.name).stream()
-                .anyMatch(slot -> slot.region.equals(settings.region));
+        return dispatcher.replicaTable.ofService(service.name).stream()
+                .anyMatch(slot -> slot.region().equals(settings.region));
     }
 
     /**
--- a/edge/src/main/java/martenloom/edge/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/ShellQueries.java
@@ -7,7 +7,7 @@
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
 import martenloom.edge.overload.Overload;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.language.RoutingLanguage;
 
@@ -135,19 +135,19 @@
         return lines.toString();
     }
 
-    private static String replica(ReplicaTable.Slot slot, long now) {
+    private static String replica(ReplicaEndpoint slot, long now) {
         return String.format(
                 "%s %s %s in-hand %d others %d unread %d rate %.1f work %d us rtt %d us%s%s\n",
-                slot.row.id,
-                slot.row.service,
-                slot.row.zone,
-                slot.mine,
-                slot.othersInHand(now),
-                slot.unread,
-                slot.rate,
-                (long) slot.workUs,
-                (long) slot.rttUs,
-                slot.row.draining ? " draining" : "",
-                now < slot.suspectUntilUs ? " suspect" : "");
+                slot.id(),
+                slot.service(),
+                slot.zone(),
+                slot.load().ownInFlight(),
+                slot.load().peerInFlight(now),
+                slot.load().ownPendingPrefillTokens(),
+                slot.latency().prefillTokensPerMs(),
+                (long) slot.latency().serviceTimeUs(),
+                (long) slot.latency().roundTripUs(),
+                slot.isDraining() ? " draining" : "",
+                slot.reachability().isSuspected(now) ? " suspect" : "");
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -9,14 +9,16 @@
 import java.util.Optional;
 import martenloom.common.clock.Clocks;
 import martenloom.edge.http.Head;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.PooledConnection;
+import martenloom.edge.replica.ReplicaAttempt;
+import martenloom.edge.replica.ReplicaEndpoint;
 
 /**
  * One attempt of an request at one replica: opens or takes a connection, sends the request, and
  * turns the answer into events for the dispatcher. What came to nothing is told by how far it got,
  * for that decides whether another attempt is allowed.
  */
-public final class Attempt {
+public final class Attempt implements ReplicaAttempt {
     /** How far an attempt has come; exactly one at any time. */
     public enum State {
         OPENING,
@@ -47,6 +49,8 @@
         void onWhole(Attempt l, Head h, byte[] body);
 
         void onFailed(Attempt l, Failure f, Optional<Head> h);
+
+        void onReplicaUnresponsive(Attempt l, long now);
     }
 
     private static final SocketSettings SOCKET =
@@ -61,7 +65,7 @@
     private static final byte[] NONE = new byte[0];
 
     public final Request request;
-    public final ReplicaTable.Slot slot;
+    public final ReplicaEndpoint slot;
     private final Owner owner;
     public final int unread;
     public int aheadTokens;
@@ -71,14 +75,14 @@
     public long startUs;
     public boolean counted = true;
     private State state = State.OPENING;
-    private Optional<ReplicaConnection> wire = Optional.empty();
+    private Optional<PooledConnection> wire = Optional.empty();
     private Optional<Head> head = Optional.empty();
     private boolean stream;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
     private byte[] pend = NONE;
     private long after = -1;
 
-    public Attempt(Request e, ReplicaTable.Slot s, int unread, Owner o) {
+    public Attempt(Request e, ReplicaEndpoint s, int unread, Owner o) {
         request = e;
         slot = s;
         owner = o;
@@ -89,6 +93,32 @@
         return state;
     }
 
+    @Override
+    public String requestId() {
+        return request.id;
+    }
+
+    @Override
+    public boolean isHeadRequest() {
+        return request.head.one.equals("HEAD");
+    }
+
+    @Override
+    public boolean isOpening() {
+        return state == State.OPENING;
+    }
+
+    @Override
+    public long sentUs() {
+        return sentUs;
+    }
+
+    @Override
+    public void onReplicaUnresponsive(long now) {
+        owner.onReplicaUnresponsive(this, now);
+    }
+
+    @Override
     public boolean started() {
         return firstUs > 0;
     }
@@ -100,19 +130,19 @@
             send(wire.get());
             return;
         }
-        slot.open++;
-        TcpSocket.connect(loop, slot.address, connectMs, SOCKET)
+        slot.connections().onOpening();
+        TcpSocket.connect(loop, slot.address(), connectMs, SOCKET)
                 .subscribe(
                         (s, x) -> {
                             if (x != null) {
-                                slot.open--;
+                                slot.connections().onClosed();
                                 fail(Failure.UNSENT);
                             } else if (state != State.OPENING) {
-                                slot.open--;
+                                slot.connections().onClosed();
                                 s.close();
                             } else {
                                 var rtt = Clocks.nowUs() - startUs;
-                                slot.rttUs += (rtt - slot.rttUs) * 0.3;
+                                slot.latency().onConnected(rtt);
                                 var w = new ReplicaConnection(s, slot);
                                 wire = Optional.of(w);
                                 send(w);
@@ -124,30 +154,19 @@
      * An open connection that this request may go out on; those that have become useless are closed
      * on the way.
      */
-    private Optional<ReplicaConnection> takeIdle() {
+    private Optional<PooledConnection> takeIdle() {
         var trustUs =
                 request.route.repeatable()
-                        ? slot.idleTrustUs()
-                        : Math.min(ONCE_IDLE_US, slot.idleTrustUs());
-        for (var i = slot.idle.iterator(); i.hasNext(); ) {
-            var w = i.next();
-            if (w.lastServed(request.id)) {
-                continue;
-            }
-            i.remove();
-            if (w.usable(startUs) && w.idleUs(startUs) < trustUs) {
-                return Optional.of(w);
-            }
-            w.close();
-        }
-        return Optional.empty();
+                        ? slot.connections().idleTrustUs()
+                        : Math.min(ONCE_IDLE_US, slot.connections().idleTrustUs());
+        return slot.connections().takeIdle(request.id, trustUs, startUs);
     }
 
-    private void send(ReplicaConnection w) {
+    private void send(PooledConnection w) {
         var now = Clocks.nowUs();
         var left = (Math.min(request.clientUs, request.deadlineUs) - now) / 1000;
         if (left < 1) {
-            slot.idle.addFirst(w);
+            slot.connections().addIdle(w);
             wire = Optional.empty();
             fail(Failure.UNSENT);
             return;
@@ -156,7 +175,7 @@
         h.dropHop();
         h.drop("Expect");
         h.set("X-Time-Remaining", String.valueOf(left));
-        h.set("X-Target-Instance", slot.row.id);
+        h.set("X-Target-Instance", slot.id());
         if (!request.model.isEmpty()) {
             h.set(
                     "X-Request-Priority",
@@ -179,13 +198,11 @@
         h.three = "HTTP/1.1";
         state = State.SENT;
         sentUs = now;
-        slot.sentAt(now);
-        if (slot.quietSinceUs == 0) {
-            slot.quietSinceUs = now;
-        }
+        slot.onSent(now);
         w.send(this, h.bytes(), request.body);
     }
 
+    @Override
     public void onHead(Head h) {
         state = State.ANSWERING;
         head = Optional.of(h);
@@ -202,6 +219,7 @@
         }
     }
 
+    @Override
     public void onBody(byte[] b, int from, int n) {
         if (state == State.OVER) {
             return;
@@ -280,6 +298,7 @@
         return s.substring(i + 3, e).strip();
     }
 
+    @Override
     public void onEnd() {
         if (state == State.OVER) {
             return;
@@ -304,6 +323,7 @@
      * An answer without a length has ended with its connection; a stream that ends inside an event
      * is cut all the same.
      */
+    @Override
     public void onConnectionEnd() {
         if (stream && pend.length > 0) {
             onBroken();
@@ -312,6 +332,7 @@
         }
     }
 
+    @Override
     public void onBroken() {
         wire = Optional.empty();
         fail(stream ? Failure.CUT : Failure.MAYBE_RUN);
@@ -320,7 +341,7 @@
     private void broken() {
         var w = wire;
         fail(stream ? Failure.CUT : Failure.MAYBE_RUN);
-        w.ifPresent(ReplicaConnection::abandon);
+        w.ifPresent(PooledConnection::abandon);
     }
 
     private void fail(Failure f) {
@@ -335,13 +356,9 @@
     void uncount() {
         if (counted) {
             counted = false;
-            slot.mine--;
-            slot.attempts.remove(this);
+            slot.removeAttempt(this);
             if (!started()) {
-                slot.unread -= unread;
-            }
-            if (slot.attempts.isEmpty()) {
-                slot.quietSinceUs = 0;
+                slot.load().onPrefillEnd(unread);
             }
         }
     }
@@ -357,7 +374,7 @@
             state = State.OVER;
             var w = wire;
             wire = Optional.empty();
-            w.ifPresent(ReplicaConnection::abandon);
+            w.ifPresent(PooledConnection::abandon);
         }
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptResults.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptResults.java
@@ -6,6 +6,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.log.RingLog;
 import martenloom.edge.http.Head;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 
 /**
@@ -42,6 +43,9 @@
 
         /** A replica has room for a request that waits. */
         void onRoom();
+
+        /** Moves an attempt off an unresponsive replica, when that is allowed. */
+        void move(Attempt attempt, long now);
     }
 
     private final Eventloop loop;
@@ -107,10 +111,15 @@
             return;
         }
         attempt.firstUs = Clocks.nowUs();
-        attempt.slot.unread -= attempt.unread;
-        var took = attempt.firstUs - attempt.sentUs - attempt.slot.rttUs - FIRST_EVENT_BASE_US;
+        attempt.slot.load().onPrefillEnd(attempt.unread);
+        var took =
+                attempt.firstUs
+                        - attempt.sentUs
+                        - attempt.slot.latency().roundTripUs()
+                        - FIRST_EVENT_BASE_US;
         if (attempt.ownTokens > 1500 && attempt.aheadTokens < 3000 && took > 5_000) {
-            replicaTable.learnRate(attempt.slot, Math.min(400, attempt.ownTokens * 1000.0 / took));
+            replicaTable.learnPrefillRate(
+                    attempt.slot, Math.min(400, attempt.ownTokens * 1000.0 / took));
         }
     }
 
@@ -166,7 +175,7 @@
                 && request.route.repeatable()
                 && request.sent < request.route.tries) {
             request.mayHaveRun = true;
-            request.tried.add(attempt.slot.row.id);
+            request.tried.add(attempt.slot.id());
             again(request);
         } else if (promisesUnrun(head.status()) && !request.route.repeatable()) {
             request.mayHaveRun = true;
@@ -181,7 +190,7 @@
         var took = now - attempt.sentUs;
         learnHealth(slot, status < 500 || status == 504, now);
         if (status / 100 == 2) {
-            slot.workUs += (Math.max(1000, took - slot.rttUs) - slot.workUs) * 0.05;
+            slot.latency().onAnswered(took);
         }
     }
 
@@ -204,13 +213,18 @@
 
     // ---- failures
 
+    @Override
+    public void onReplicaUnresponsive(Attempt attempt, long now) {
+        owner.move(attempt, now);
+    }
+
     @Override
     public void onFailed(Attempt attempt, Attempt.Failure failure, Optional<Head> head) {
         attempt.uncount();
         var request = attempt.request;
         var now = Clocks.nowUs();
         RingLog.note(
-                "attempt of " + request.id + " at " + attempt.slot.row.id + " failed: " + failure);
+                "attempt of " + request.id + " at " + attempt.slot.id() + " failed: " + failure);
         var expired = now >= request.deadlineUs - LEAST_LEFT_US;
         learnFromFailure(attempt, failure, head, expired, now);
         if (request.done()) {
@@ -220,7 +234,7 @@
         if (failure == Attempt.Failure.UNSENT) {
             followUnsent(attempt, expired, now);
         } else {
-            request.tried.add(attempt.slot.row.id);
+            request.tried.add(attempt.slot.id());
             followSent(request, failure);
         }
     }
@@ -234,7 +248,7 @@
         var request = attempt.request;
         if (failure == Attempt.Failure.UNSENT) {
             if (!expired) {
-                attempt.slot.hold(UNREACHED_HOLD_US, now);
+                attempt.slot.reachability().onUnreachable(UNREACHED_HOLD_US, now);
             }
             return;
         }
@@ -250,10 +264,10 @@
     private void followUnsent(Attempt attempt, boolean expired, long now) {
         var request = attempt.request;
         if (expired) {
-            request.tried.add(attempt.slot.row.id);
+            request.tried.add(attempt.slot.id());
             completion.onDeadline(request);
         } else {
-            request.tried.remove(attempt.slot.row.id);
+            request.tried.remove(attempt.slot.id());
             retryOrWait(request, now);
         }
     }
@@ -270,18 +284,19 @@
         }
     }
 
-    private void learnHealth(ReplicaTable.Slot slot, boolean well, long now) {
-        slot.health.answered(well, now);
+    private void learnHealth(ReplicaEndpoint slot, boolean well, long now) {
+        slot.health().onOutcome(well, now);
         if (!well) {
-            replicaTable.judge(slot, slot.health.ok(now), slot.health.bad(now), 0, 0, now);
+            replicaTable.ejectIfOutlier(
+                    slot, slot.health().successes(now), slot.health().failures(now), 0, 0, now);
         }
     }
 
-    private static void learnTurnedAway(ReplicaTable.Slot slot, int status, long now) {
+    private static void learnTurnedAway(ReplicaEndpoint slot, int status, long now) {
         if (status == 421) {
-            slot.suspectUntilUs = now + MISDIRECTED_SUSPECT_US;
+            slot.reachability().onMisdirected(MISDIRECTED_SUSPECT_US, now);
         } else if (status == 503 || status == 429) {
-            slot.fullUntilUs = now + FULL_US;
+            slot.reachability().onSaturated(FULL_US, now);
         }
     }
 
@@ -295,7 +310,7 @@
 
     private void retryOrWait(Request request, long now) {
         if (!owner.dispatch(request, now)) {
-            if (request.tried.size() >= replicaTable.of(request.service).size()) {
+            if (request.tried.size() >= replicaTable.ofService(request.service).size()) {
                 request.tried.clear();
             }
             owner.enqueue(request, now);
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaConnection.java
@@ -6,7 +6,9 @@
 import martenloom.common.clock.Clocks;
 import martenloom.edge.http.Chunks;
 import martenloom.edge.http.Head;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.PooledConnection;
+import martenloom.edge.replica.ReplicaAttempt;
+import martenloom.edge.replica.ReplicaEndpoint;
 
 /**
  * One connection to a replica. It serves one attempt at a time and reads that attempt's answer; an
@@ -14,7 +16,7 @@
  * bytes while idle, bytes behind an answer, what is no answer - ends the connection, which is then
  * never used again.
  */
-public final class ReplicaConnection implements SocketConnection.Owner {
+public final class ReplicaConnection implements SocketConnection.Owner, PooledConnection {
     private enum State {
         IDLE,
         HEAD,
@@ -25,9 +27,9 @@
     private static final int MOST = 1 << 20;
 
     private final SocketConnection wire;
-    private final ReplicaTable.Slot slot;
+    private final ReplicaEndpoint slot;
     private State state = State.IDLE;
-    private Optional<Attempt> attempt = Optional.empty();
+    private Optional<ReplicaAttempt> attempt = Optional.empty();
     private boolean skipping;
     private int skips;
     private int left;
@@ -49,12 +51,13 @@
     /** Whether it had served another request before the present one. */
     private boolean served;
 
-    public ReplicaConnection(ITcpSocket s, ReplicaTable.Slot slot) {
+    public ReplicaConnection(ITcpSocket s, ReplicaEndpoint slot) {
         this.slot = slot;
         wire = new SocketConnection(s, 1 << 18, this);
         wire.start();
     }
 
+    @Override
     public boolean usable(long now) {
         return state == State.IDLE && wire.isOpen() && now < idleUntilUs && sentAll();
     }
@@ -63,19 +66,22 @@
      * Whether its last request had this id: a second answer to that one could not be told from one
      * to the next.
      */
+    @Override
     public boolean lastServed(String attempt) {
         return !attempt.isEmpty() && lastAttempt.equals(attempt);
     }
 
     /** How long it has been waiting for its next attempt; 0 for a new one. */
+    @Override
     public long idleUs(long now) {
         return idleSinceUs == 0 ? 0 : now - idleSinceUs;
     }
 
-    public void send(Attempt l, byte[] head, byte[] body) {
+    @Override
+    public void send(ReplicaAttempt l, byte[] head, byte[] body) {
         wasIdleUs = idleUs(Clocks.nowUs());
         served = idleSinceUs > 0;
-        lastAttempt = l.request.id;
+        lastAttempt = l.requestId();
         heard = false;
         attempt = Optional.of(l);
         state = State.HEAD;
@@ -87,6 +93,7 @@
         wire.write(all);
     }
 
+    @Override
     public void hold(boolean h) {
         wire.hold(h);
     }
@@ -98,9 +105,7 @@
     @Override
     public void onBytes() {
         heard = true;
-        slot.heardUs = Clocks.nowUs();
-        slot.quietSinceUs = 0;
-        slot.doubtful = false;
+        slot.reachability().onHeard(Clocks.nowUs());
         try {
             while (wire.size() > 0 && state != State.CLOSED && step()) {}
         } catch (Head.BadHead e) {
@@ -133,19 +138,17 @@
         if (h.status() / 100 == 1) {
             return true;
         }
-        var bodiless =
-                h.status() == 204
-                        || h.status() == 304
-                        || attempt.get().request.head.one.equals("HEAD");
+        var bodiless = h.status() == 204 || h.status() == 304 || attempt.get().isHeadRequest();
         var n = bodiless ? 0 : h.length(502);
         endsWithConnection = !bodiless && !h.has("Transfer-Encoding") && !h.has("Content-Length");
         lastAnswer = endsWithConnection || h.closes();
         idleUntilUs = Clocks.nowUs() + keepUs(h);
-        skipping = h.has("X-Attempt-Id") && !h.get("X-Attempt-Id").equals(attempt.get().request.id);
+        skipping =
+                h.has("X-Attempt-Id") && !h.get("X-Attempt-Id").equals(attempt.get().requestId());
         if (skipping && (++skips > 2 || endsWithConnection)) {
             throw new Head.BadHead(502, "answers of others");
         }
-        if (served && !h.has("X-Attempt-Id") && !attempt.get().request.id.isEmpty()) {
+        if (served && !h.has("X-Attempt-Id") && !attempt.get().requestId().isEmpty()) {
             throw new Head.BadHead(502, "an answer that may be another request's");
         }
         chunks = n < 0 ? Optional.of(new Chunks(502)) : Optional.empty();
@@ -241,12 +244,12 @@
                         && skips == 0
                         && wire.size() == 0
                         && wire.isOpen()
-                        && !slot.row.gone
-                        && !slot.row.draining;
+                        && !slot.isDeregistered()
+                        && !slot.isDraining();
         if (again) {
             wire.hold(false);
             idleSinceUs = Clocks.nowUs();
-            slot.idle.addFirst(this);
+            slot.connections().addIdle(this);
         } else {
             close();
         }
@@ -259,17 +262,18 @@
             return;
         }
         if (state == State.HEAD && attempt.isPresent() && !heard && wasIdleUs > 0) {
-            slot.forgot(wasIdleUs);
+            slot.connections().onIdleReset(wasIdleUs);
         }
         var whole = state == State.BODY && endsWithConnection && wire.endedByPeer();
         state = State.CLOSED;
-        slot.open--;
-        slot.idle.remove(this);
+        slot.connections().onClosed();
+        slot.connections().removeIdle(this);
         var l = attempt;
         attempt = Optional.empty();
-        l.ifPresent(whole ? Attempt::onConnectionEnd : Attempt::onBroken);
+        l.ifPresent(whole ? ReplicaAttempt::onConnectionEnd : ReplicaAttempt::onBroken);
     }
 
+    @Override
     public void close() {
         wire.close();
     }
@@ -278,6 +282,7 @@
      * Lets go of the attempt and ends the connection, so that the replica drops what it runs for
      * it.
      */
+    @Override
     public void abandon() {
         attempt = Optional.empty();
         wire.reset();
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -12,7 +12,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.PrefixOwners;
-import martenloom.edge.replica.ReplicaHealth;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.route.RouteTable;
@@ -73,10 +73,10 @@
         replicaTable.all().forEach(this::markResting);
     }
 
-    void markResting(ReplicaTable.Slot s) {
-        var svc = Optional.ofNullable(table.services.get(s.row.service)).filter(x -> x.engine);
-        var p = svc.flatMap(x -> Optional.ofNullable(placed.get(s.region + "/" + x.model)));
-        s.resting = p.isPresent() && (p.get().pinned() || p.get().resting().contains(s.row.id));
+    void markResting(ReplicaEndpoint s) {
+        var svc = Optional.ofNullable(table.services.get(s.service())).filter(x -> x.engine);
+        var p = svc.flatMap(x -> Optional.ofNullable(placed.get(s.region() + "/" + x.model)));
+        s.setUnloaded(p.isPresent() && (p.get().pinned() || p.get().resting().contains(s.id())));
     }
 
     /**
@@ -87,25 +87,25 @@
             return false;
         }
         var l =
-                replicaTable.of(e.service).stream()
+                replicaTable.ofService(e.service).stream()
                         .filter(
                                 s ->
-                                        e.route.allows(s.region)
-                                                && !s.row.draining
-                                                && !s.row.silent
-                                                && !evacuated.contains(s.row.zone))
+                                        e.route.allows(s.region())
+                                                && !s.isDraining()
+                                                && !s.isUnresponsive()
+                                                && !evacuated.contains(s.zone()))
                         .toList();
-        return !l.isEmpty() && l.stream().allMatch(s -> s.resting);
+        return !l.isEmpty() && l.stream().allMatch(s -> s.isUnloaded());
     }
 
     void onEvacuated(Set<String> zones, long now) {
         for (var s : replicaTable.all()) {
-            if (evacuated.contains(s.row.zone) && !zones.contains(s.row.zone)) {
+            if (evacuated.contains(s.zone()) && !zones.contains(s.zone())) {
                 var w =
-                        Optional.ofNullable(table.services.get(s.row.service))
+                        Optional.ofNullable(table.services.get(s.service()))
                                 .map(x -> x.warmUs)
                                 .orElse(0L);
-                s.coldFloorUs = w == 0 ? 0 : now + w + 1_500_000;
+                s.warmup().restart(w == 0 ? 0 : now + w + 1_500_000);
             }
         }
         evacuated = Set.copyOf(zones);
@@ -135,7 +135,7 @@
                 && r.get().shares.stream()
                         .anyMatch(
                                 s ->
-                                        replicaTable.of(s.service).stream()
+                                        replicaTable.ofService(s.service).stream()
                                                 .anyMatch(
                                                         x ->
                                                                 jobRoom(
@@ -145,34 +145,34 @@
                                                                         Clocks.nowUs())));
     }
 
-    private boolean jobRoom(ReplicaTable.Slot s, RouteTable.Route r, int urgency, long now) {
-        var in = s.mine + s.othersInHand(now);
-        var ahead = (s.unread + s.othersUnread(now)) / s.rate * 1000;
-        return r.allows(s.region)
-                && !s.row.draining
-                && !s.row.silent
-                && !s.row.gone
-                && now >= s.suspectUntilUs
-                && !evacuated.contains(s.row.zone)
-                && (s.warm(now) || urgency > 2)
-                && in < Math.max(1, s.row.capacity * JOB_FILL[urgency])
+    private boolean jobRoom(ReplicaEndpoint s, RouteTable.Route r, int urgency, long now) {
+        var in = s.load().inFlight(now);
+        var ahead = (s.load().pendingPrefillTokens(now)) / s.latency().prefillTokensPerMs() * 1000;
+        return r.allows(s.region())
+                && !s.isDraining()
+                && !s.isUnresponsive()
+                && !s.isDeregistered()
+                && !s.reachability().isSuspected(now)
+                && !evacuated.contains(s.zone())
+                && (s.isWarm(now) || urgency > 2)
+                && in < Math.max(1, s.capacity() * JOB_FILL[urgency])
                 && ahead < r.aimUs * JOB_TIME[urgency];
     }
 
     // ---- choice
 
     private static final class Pick {
-        final Optional<ReplicaTable.Slot> slot;
+        final Optional<ReplicaEndpoint> slot;
         final double costUs;
 
-        Pick(Optional<ReplicaTable.Slot> s, double c) {
+        Pick(Optional<ReplicaEndpoint> s, double c) {
             slot = s;
             costUs = c;
         }
     }
 
-    private boolean usable(ReplicaTable.Slot s, RouteTable.Service svc, Request e, long now) {
-        var r = s.row;
+    private boolean usable(ReplicaEndpoint s, RouteTable.Service svc, Request e, long now) {
+        var r = s.registration();
         if (r.gone
                 || r.draining
                 || r.silent
@@ -181,31 +181,31 @@
                 || e.tried.contains(r.id)) {
             return false;
         }
-        if (s.resting) {
+        if (s.isUnloaded()) {
             return false;
         }
         if (e.deferred > 0 && !jobRoom(s, e.route, e.deferred - 1, now)) {
             return false;
         }
-        if (now < s.suspectUntilUs
-                || now < s.fullUntilUs
-                || s.othersDoubt(now)
-                || s.health.state(now) == ReplicaHealth.State.ASIDE) {
+        if (s.reachability().isSuspected(now)
+                || s.reachability().isSaturated(now)
+                || s.reachability().peersSuspect(now)
+                || s.health().isEjected(now)) {
             return false;
         }
-        if (s.doubtful && s.mine > 0) {
+        if (s.reachability().isProbing() && s.load().ownInFlight() > 0) {
             return false;
         }
-        if (!s.warm(now) && svc.warmPerS > 0) {
-            if (s.coldSends(now) + s.opening() >= coldShare(s, svc, now)) {
+        if (!s.isWarm(now) && svc.warmPerS > 0) {
+            if (s.warmup().recentSends(now) + s.openingAttempts() >= coldShare(s, svc, now)) {
                 return false;
             }
         }
         var conns = Math.max(1, (int) (svc.maxConnections * 0.95 / edges));
-        if (s.idle.isEmpty() && s.open >= conns) {
+        if (s.connections().hasNoIdle() && s.connections().openConnections() >= conns) {
             return false;
         }
-        var in = s.mine + s.othersInHand(now);
+        var in = s.load().inFlight(now);
         return in < (svc.engine ? r.capacity * 1.5 : r.capacity * 2.5);
     }
 
@@ -213,31 +213,33 @@
      * An even share by the most edges ever, as long as that is one or more; past that, what the
      * homes lent.
      */
-    private int coldShare(ReplicaTable.Slot s, RouteTable.Service svc, long now) {
+    private int coldShare(ReplicaEndpoint s, RouteTable.Service svc, long now) {
         var all = svc.coldPerS(settings.bounds.warmOverage, settings.bounds.warmSlack);
-        return edges <= all ? all / edges : replicaTable.coldShare(s.row.id, now);
+        return edges <= all
+                ? all / edges
+                : replicaTable.warmupPermits().sendsPerSecond(s.id(), now);
     }
 
     private Pick best(
-            List<ReplicaTable.Slot> slots,
+            List<ReplicaEndpoint> slots,
             RouteTable.Service svc,
             Request e,
             String region,
             long now) {
-        var best = Optional.<ReplicaTable.Slot>empty();
+        var best = Optional.<ReplicaEndpoint>empty();
         var cost = Double.MAX_VALUE;
         var bonus =
                 svc.engine && e.sizes.size() > 1
                         ? topOf(slots, e, region)
-                        : Optional.<ReplicaTable.Slot>empty();
+                        : Optional.<ReplicaEndpoint>empty();
         for (var s : slots) {
-            if (!s.region.equals(region) || !usable(s, svc, e, now) || crowded(s, svc, e, now)) {
+            if (!s.region().equals(region) || !usable(s, svc, e, now) || crowded(s, svc, e, now)) {
                 continue;
             }
             var c =
-                    replicaTable.predict(s, svc, e, false, now)
-                            + s.farUs
-                            + s.health.costUs(now)
+                    replicaTable.predictor().predictUs(s, svc, e, false, now)
+                            + s.tieBreakCostUs()
+                            + s.health().recoveryCostUs(now)
                             - (bonus.isPresent() && bonus.get() == s ? AFFINITY_US : 0);
             if (c < cost) {
                 cost = c;
@@ -253,30 +255,33 @@
      * batches are not slowed so soon. The measure is the kind's usual size: the largest of a kind
      * are not kept out before the others.
      */
-    private boolean crowded(ReplicaTable.Slot s, RouteTable.Service svc, Request e, long now) {
-        var most = Math.max(s.row.capacity * CROWD, Math.min(s.row.capacity - 2, CROWD_LEAST));
+    private boolean crowded(ReplicaEndpoint s, RouteTable.Service svc, Request e, long now) {
+        var most = Math.max(s.capacity() * CROWD, Math.min(s.capacity() - 2, CROWD_LEAST));
         return svc.engine
-                && replicaTable.usual(e.route) >= LARGE_KIND
-                && s.mine + s.othersInHand(now) > most;
+                && replicaTable.predictor().usualPromptTokens(e.route) >= LARGE_KIND
+                && s.load().inFlight(now) > most;
     }
 
     static String sharedPart(Request e) {
         return e.parts.get(e.parts.size() - 2);
     }
 
-    private static int weight(Request e, ReplicaTable.Slot s) {
-        return mix(sharedPart(e).hashCode() * 31 + s.row.id.hashCode());
+    private static int weight(Request e, ReplicaEndpoint s) {
+        return mix(sharedPart(e).hashCode() * 31 + s.id().hashCode());
     }
 
     /**
      * The replica of a region that the shared parts of a prompt belong to, the same at every edge.
      */
-    private static Optional<ReplicaTable.Slot> topOf(
-            List<ReplicaTable.Slot> slots, Request e, String region) {
-        var best = Optional.<ReplicaTable.Slot>empty();
+    private static Optional<ReplicaEndpoint> topOf(
+            List<ReplicaEndpoint> slots, Request e, String region) {
+        var best = Optional.<ReplicaEndpoint>empty();
         var top = Integer.MIN_VALUE;
         for (var s : slots) {
-            if (s.region.equals(region) && !s.row.draining && !s.row.silent && !s.resting) {
+            if (s.region().equals(region)
+                    && !s.isDraining()
+                    && !s.isUnresponsive()
+                    && !s.isUnloaded()) {
                 var h = weight(e, s);
                 if (h > top) {
                     top = h;
@@ -291,10 +296,10 @@
      * Whether this replica is where some edge last sent the request's large shared parts, so that
      * it need not read them.
      */
-    boolean keeps(ReplicaTable.Slot s, Request e) {
+    boolean keeps(ReplicaEndpoint s, Request e) {
         return e.sizes.size() > 1
                 && e.sharedTokens() >= LARGE
-                && places.prefixOwner(sharedPart(e)).filter(s.row.id::equals).isPresent();
+                && places.ownerOf(sharedPart(e)).filter(s.id()::equals).isPresent();
     }
 
     /**
@@ -313,43 +318,46 @@
      * the one where some edge last sent it, then those by hash, the same at every edge; the first
      * that is usable and has room is taken. Reports in force keep a share away as ever.
      */
-    private Optional<ReplicaTable.Slot> prefixOwner(
-            List<ReplicaTable.Slot> slots,
+    private Optional<ReplicaEndpoint> prefixOwner(
+            List<ReplicaEndpoint> slots,
             RouteTable.Service svc,
             Request e,
             double room,
             List<String> keptAway,
             long now) {
-        var l = new ArrayList<ReplicaTable.Slot>();
+        var l = new ArrayList<ReplicaEndpoint>();
         for (var s : slots) {
-            if (e.route.allows(s.region) && !s.row.draining && !s.row.silent && !s.resting) {
+            if (e.route.allows(s.region())
+                    && !s.isDraining()
+                    && !s.isUnresponsive()
+                    && !s.isUnloaded()) {
                 l.add(s);
             }
         }
-        l.sort(Comparator.comparingInt((ReplicaTable.Slot s) -> weight(e, s)).reversed());
-        places.prefixOwner(sharedPart(e))
-                .flatMap(replicaTable::slot)
+        l.sort(Comparator.comparingInt((ReplicaEndpoint s) -> weight(e, s)).reversed());
+        places.ownerOf(sharedPart(e))
+                .flatMap(replicaTable::find)
                 .filter(l::remove)
                 .ifPresent(s -> l.add(0, s));
         var kept = !l.isEmpty() && keeps(l.get(0), e);
         var least =
                 l.stream()
                         .filter(s -> usable(s, svc, e, now))
-                        .mapToInt(s -> s.mine + s.othersInHand(now))
+                        .mapToInt(s -> s.load().inFlight(now))
                         .min()
                         .orElse(0);
         for (var i = 0; i < Math.min(3, l.size()); i++) {
             var s = l.get(i);
-            var in = s.mine + s.othersInHand(now);
+            var in = s.load().inFlight(now);
             if (!usable(s, svc, e, now)
                     || crowded(s, svc, e, now)
                     || in > 16 + least * 2
-                    || replicaTable.predict(s, svc, e, kept && i == 0, now)
+                    || replicaTable.predictor().predictUs(s, svc, e, kept && i == 0, now)
                             > (kept && i == 0 ? roomOfPrefixOwner(e, now) : room)) {
                 continue;
             }
-            var away = !s.region.equals(settings.region);
-            var k = s.region + "/" + svc.model;
+            var away = !s.region().equals(settings.region);
+            var k = s.region() + "/" + svc.model;
             if (away && e.sent == 0 && !keptAway.contains(k) && reports.select(k, now)) {
                 keptAway.add(k);
             }
@@ -368,11 +376,11 @@
         return x ^ x >>> 16;
     }
 
-    private List<String> regions(List<ReplicaTable.Slot> slots, Request e) {
+    private List<String> regions(List<ReplicaEndpoint> slots, Request e) {
         var l = new ArrayList<String>();
         for (var s : slots) {
-            if (!l.contains(s.region) && e.route.allows(s.region)) {
-                l.add(s.region);
+            if (!l.contains(s.region()) && e.route.allows(s.region())) {
+                l.add(s.region());
             }
         }
         Collections.rotate(l, turn++);
@@ -386,18 +394,18 @@
      * Own region first while it has room; then, past the reports in force, the allowed region with
      * the most room.
      */
-    Optional<ReplicaTable.Slot> choose(Request e, long now) {
+    Optional<ReplicaEndpoint> choose(Request e, long now) {
         var svc =
                 Optional.ofNullable(table.services.get(e.service))
                         .orElseGet(RouteTable.Service::new);
-        var slots = replicaTable.of(e.service);
+        var slots = replicaTable.ofService(e.service);
         var room = e.route.aimUs * 0.7 - (now - e.arrivedUs);
         var fallback = new Pick(Optional.empty(), Double.MAX_VALUE);
         var keptAway = new ArrayList<String>();
         if (svc.engine && e.sharedTokens() >= LARGE) {
             var k = prefixOwner(slots, svc, e, room, keptAway, now);
             if (k.isPresent()) {
-                return chosen(new Pick(k, 0), keptAway, !k.get().region.equals(settings.region));
+                return chosen(new Pick(k, 0), keptAway, !k.get().region().equals(settings.region));
             }
         }
         var home = regions(slots, e);
@@ -424,7 +432,8 @@
         }
         if (fallback.slot.isPresent()
                 && fallback.costUs < Math.min(e.route.aimUs * 1.5, (e.deadlineUs - now) * 0.6)) {
-            return chosen(fallback, keptAway, !fallback.slot.get().region.equals(settings.region));
+            return chosen(
+                    fallback, keptAway, !fallback.slot.get().region().equals(settings.region));
         }
         if (e.keptAway.isEmpty()) {
             keptAway.forEach(k -> reports.at(k).held++);
@@ -433,7 +442,7 @@
         return Optional.empty();
     }
 
-    private Optional<ReplicaTable.Slot> chosen(Pick p, List<String> keptAway, boolean away) {
+    private Optional<ReplicaEndpoint> chosen(Pick p, List<String> keptAway, boolean away) {
         keptAway.forEach(k -> reports.at(k).spilled++);
         if (away) {
             spilled++;
--- a/edge/src/main/java/martenloom/edge/dispatch/Request.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Request.java
@@ -7,6 +7,7 @@
 import java.util.Set;
 import martenloom.common.clock.Clocks;
 import martenloom.edge.http.Head;
+import martenloom.edge.replica.Prompt;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -14,7 +15,7 @@
  * attempts it has had and how far its answer has come. All changes of its state go through one
  * function.
  */
-public final class Request {
+public final class Request implements Prompt {
     /** Where a request stands; exactly one at any time. */
     public enum State {
         WAITING,
@@ -118,6 +119,26 @@
         return n;
     }
 
+    @Override
+    public RouteTable.Route route() {
+        return route;
+    }
+
+    @Override
+    public int promptTokens() {
+        return promptTokens;
+    }
+
+    @Override
+    public List<String> parts() {
+        return parts;
+    }
+
+    @Override
+    public List<Integer> partTokens() {
+        return sizes;
+    }
+
     public State state() {
         return state;
     }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -15,6 +15,7 @@
 import martenloom.edge.http.Head;
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.PrefixOwners;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.route.RouteTable;
@@ -34,7 +35,7 @@
     public final Overload.Receiver reports = new Overload.Receiver();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private final RequestQueues queues = new RequestQueues(this);
-    private final SilenceWatch silence = new SilenceWatch(this::table, this::move);
+    private final SilenceWatch silence = new SilenceWatch(this::table);
     private final ReplicaSelector chooser;
     private boolean leaving;
     private final LateRequestPolicy late = new LateRequestPolicy();
@@ -167,7 +168,9 @@
             var service = table().services.get(request.service);
             if (request.deferred == 0 && service != null && service.engine) {
                 sums.fly(
-                        request.attempt.map(attempt -> attempt.slot.region).orElse(settings.region)
+                        request.attempt
+                                        .map(attempt -> attempt.slot.region())
+                                        .orElse(settings.region)
                                 + "/"
                                 + service.model);
             }
@@ -218,7 +221,7 @@
                         now);
         client.request = Optional.of(request);
         budget.request(request.service, now);
-        replicaTable.weigh(request);
+        replicaTable.predictor().learnPromptSize(request);
         if (request.deadlineUs <= now + 1000 || late.tooLate(request, now)) {
             completion.refuse(request, 0.1);
             return;
@@ -333,27 +336,27 @@
         var service = table().services.get(request.service);
         var slot = chosen.get();
         var kept = chooser.keeps(slot, request);
-        var attempt = new Attempt(request, slot, slot.unread(request, kept), results);
-        attempt.aheadTokens = slot.unread + slot.othersUnread(now);
+        var attempt =
+                new Attempt(
+                        request, slot, slot.prefixCache().missingTokens(request, kept), results);
+        attempt.aheadTokens = slot.load().pendingPrefillTokens(now);
         attempt.ownTokens = ownTokens(request, slot, kept);
         request.attempt = Optional.of(attempt);
         request.become(
                 request.state() == Request.State.STREAMING
                         ? Request.State.STREAMING
                         : Request.State.RUNNING);
-        slot.mine++;
-        slot.unread += attempt.unread;
-        slot.attempts.add(attempt);
+        slot.addAttempt(attempt, attempt.unread);
         if (request.sent > 0) {
             counters.repeats++;
         }
         if (service != null && service.engine) {
-            slot.keep(request, service.cacheTokens);
+            slot.prefixCache().add(request, service.cacheTokens);
             if (request.sharedTokens() >= ReplicaSelector.LARGE) {
-                places.put(ReplicaSelector.sharedPart(request), slot.row.id);
+                places.onSent(ReplicaSelector.sharedPart(request), slot.id());
             }
         }
-        attempt.start(loop, slot.region.equals(settings.region) ? 400 : 700);
+        attempt.start(loop, slot.region().equals(settings.region) ? 400 : 700);
         return true;
     }
 
@@ -361,17 +364,17 @@
      * Tokens that the replica certainly has to read: all when nobody sent the shared parts there,
      * else the own part.
      */
-    private static int ownTokens(Request request, ReplicaTable.Slot slot, boolean kept) {
+    private static int ownTokens(Request request, ReplicaEndpoint slot, boolean kept) {
         if (request.sizes.isEmpty()) {
             return request.promptTokens;
         }
         var all =
                 !kept
                         && request.sharedTokens() >= ReplicaSelector.LARGE
-                        && !slot.has(ReplicaSelector.sharedPart(request));
+                        && !slot.prefixCache().contains(ReplicaSelector.sharedPart(request));
         return all
                 ? request.promptTokens
-                : slot.has(request.parts.get(request.parts.size() - 1))
+                : slot.prefixCache().contains(request.parts.get(request.parts.size() - 1))
                         ? 0
                         : request.sizes.get(request.sizes.size() - 1);
     }
@@ -407,11 +410,7 @@
             client.check(now);
         }
         for (var slot : replicaTable.all()) {
-            for (var connection : List.copyOf(slot.idle)) {
-                if (!connection.usable(now)) {
-                    connection.close();
-                }
-            }
+            slot.connections().closeUnusable(now);
         }
     }
 
@@ -419,7 +418,8 @@
      * Takes a repeatable request off a replica that has gone quiet, when another replica and the
      * budget allow.
      */
-    private void move(Attempt attempt, long now) {
+    @Override
+    public void move(Attempt attempt, long now) {
         var request = attempt.request;
         if (request.done()
                 || !request.route.repeatable()
@@ -432,7 +432,7 @@
             return;
         }
         request.sent++;
-        request.tried.add(attempt.slot.row.id);
+        request.tried.add(attempt.slot.id());
         if (!dispatch(request, now)) {
             request.sent--;
             request.attempt = Optional.of(attempt);
@@ -444,7 +444,7 @@
 
     /** A replica's life ended or its time runs out: what can go on elsewhere does. */
     public void onReplica(ReplicaRecord replica) {
-        replicaTable.take(replica);
-        replicaTable.slot(replica.id).ifPresent(chooser::markResting);
+        replicaTable.register(replica);
+        replicaTable.find(replica.id).ifPresent(chooser::markResting);
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/SilenceWatch.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/SilenceWatch.java
@@ -1,11 +1,10 @@
 package martenloom.edge.dispatch;
 
-import java.util.List;
-import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
 import martenloom.common.log.RingLog;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.LatencyPredictor;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -20,34 +19,31 @@
     private static final long HEARD_JUST_NOW_US = 300_000;
 
     private final Supplier<RouteTable> table;
-    private final BiConsumer<Attempt, Long> move;
 
-    SilenceWatch(Supplier<RouteTable> table, BiConsumer<Attempt, Long> move) {
+    SilenceWatch(Supplier<RouteTable> table) {
         this.table = table;
-        this.move = move;
     }
 
-    void check(ReplicaTable.Slot s, long now) {
-        if (s.attempts.isEmpty() || s.quietSinceUs == 0 && now - s.heardUs < HEARD_JUST_NOW_US) {
-            s.wondering = false;
+    void check(ReplicaEndpoint s, long now) {
+        var reachability = s.reachability();
+        if (s.attemptCount() == 0
+                || !reachability.isUnanswered()
+                        && now - reachability.heardUs() < HEARD_JUST_NOW_US) {
+            reachability.setSuspecting(false);
             return;
         }
-        var firstSent =
-                s.attempts.stream().filter(l -> l.sentUs > 0).mapToLong(l -> l.sentUs).min();
-        var since = Math.max(s.heardUs, firstSent.orElse(now));
+        var since = Math.max(reachability.heardUs(), s.firstSentUs(now));
         var patience = patienceUs(s);
-        s.wondering = now - since > Math.max(patience / 2, patience - WONDER_US);
-        if (now - since < patience || s.othersHear(now) && now - since < patience * 2) {
+        reachability.setSuspecting(now - since > Math.max(patience / 2, patience - WONDER_US));
+        if (now - since < patience || reachability.peersHear(now) && now - since < patience * 2) {
             return;
         }
-        if (s.suspectUntilUs < now) {
-            RingLog.note(
-                    "replica " + s.row.id + " is quiet with " + s.attempts.size() + " attempts");
+        if (reachability.suspectedUntilUs() < now) {
+            RingLog.note("replica " + s.id() + " is quiet with " + s.attemptCount() + " attempts");
         }
-        s.suspectUntilUs = Math.max(s.suspectUntilUs, now + SUSPECT_US);
-        s.doubtful = true;
-        for (var l : List.copyOf(s.attempts)) {
-            move.accept(l, now);
+        reachability.onUnresponsive(SUSPECT_US, now);
+        for (var attempt : s.attempts()) {
+            attempt.onReplicaUnresponsive(now);
         }
     }
 
@@ -56,18 +52,23 @@
      * tokens, and between any two of them a piece of another prompt may be read, so a stream that
      * runs may pause for as many pieces.
      */
-    private long patienceUs(ReplicaTable.Slot s) {
-        var svc = table.get().services.get(s.row.service);
+    private long patienceUs(ReplicaEndpoint s) {
+        var svc = table.get().services.get(s.service());
         if (svc == null || !svc.engine) {
-            return (long) Math.max(200_000, s.workUs * 5 + s.rttUs);
+            return (long)
+                    Math.max(200_000, s.latency().serviceTimeUs() * 5 + s.latency().roundTripUs());
         }
-        var unread = s.unread + s.othersUnread(Clocks.nowUs());
-        for (var l : s.attempts) {
-            if (l.started()) {
-                var pieces = Math.min(unread, ReplicaTable.PIECE * svc.stepSize);
-                return (long) (450_000 + s.rttUs + pieces / s.rate * 1000);
-            }
+        var unread = s.load().pendingPrefillTokens(Clocks.nowUs());
+        if (s.hasStartedAttempt()) {
+            var pieces = Math.min(unread, LatencyPredictor.PREFILL_CHUNK_TOKENS * svc.stepSize);
+            return (long)
+                    (450_000
+                            + s.latency().roundTripUs()
+                            + pieces / s.latency().prefillTokensPerMs() * 1000);
         }
-        return (long) (500_000 + s.rttUs + unread / s.rate * 2000);
+        return (long)
+                (500_000
+                        + s.latency().roundTripUs()
+                        + unread / s.latency().prefillTokensPerMs() * 2000);
     }
 }
--- a/edge/src/main/java/martenloom/edge/replica/PrefixOwners.java
+++ b/edge/src/main/java/martenloom/edge/replica/PrefixOwners.java
@@ -8,61 +8,71 @@
 import martenloom.common.codec.RecordWriter;
 
 /**
- * Where large shared parts of prompts were last sent, by any edge: each edge tells its peers, by
- * way of the homes, so that a replica that comes new does not draw parts away from those that keep
- * them. Bounded; the oldest give way.
+ * The replica to which each large shared prefix was last sent, by any edge. Each edge reports its
+ * own sendings to its peers, by way of the homes, so that a new replica does not draw prefixes away
+ * from those that have them cached. Bounded; the oldest entries are dropped. Runs on the reactor
+ * thread.
  */
 public final class PrefixOwners {
-    private static final int MOST = 4096;
-    private static final int MOST_TOLD = 256;
+    private static final int MAX_PREFIXES = 4096;
+    private static final int MAX_UNREPORTED = 256;
 
-    private final Object2ObjectLinkedOpenHashMap<String, String> at =
+    private final Object2ObjectLinkedOpenHashMap<String, String> ownerByPrefix =
             new Object2ObjectLinkedOpenHashMap<>();
-    private final Map<String, String> untold = new LinkedHashMap<>();
+    private final Map<String, String> unreported = new LinkedHashMap<>();
 
-    public Optional<String> prefixOwner(String part) {
-        return Optional.ofNullable(at.get(part));
+    /** The id of the replica to which a prefix was last sent. */
+    public Optional<String> ownerOf(String prefix) {
+        return Optional.ofNullable(ownerByPrefix.get(prefix));
     }
 
-    /** Our own sending, to be told to peers by way of the home. */
-    public void put(String part, String replica) {
-        learn(part, replica);
-        if (untold.size() < MOST_TOLD) {
-            untold.put(part, replica);
+    /** This edge has sent a prefix to a replica, which is to be reported to its peers. */
+    public void onSent(String prefix, String replica) {
+        setOwner(prefix, replica);
+        if (unreported.size() < MAX_UNREPORTED) {
+            unreported.put(prefix, replica);
         }
     }
 
-    public boolean told() {
-        return untold.isEmpty();
+    /** Whether every sending of this edge has been reported. */
+    public boolean isAllReported() {
+        return unreported.isEmpty();
     }
 
-    private void learn(String part, String replica) {
-        at.putAndMoveToLast(part, replica);
-        while (at.size() > MOST) {
-            at.removeFirst();
+    private void setOwner(String prefix, String replica) {
+        ownerByPrefix.putAndMoveToLast(prefix, replica);
+        while (ownerByPrefix.size() > MAX_PREFIXES) {
+            ownerByPrefix.removeFirst();
         }
     }
 
-    /** For the shell: the newest parts and their prefix owners. */
-    public String text(int most) {
-        var b = new StringBuilder("parts ").append(at.size()).append('\n');
-        at.object2ObjectEntrySet().stream()
-                .skip(Math.max(0, at.size() - most))
+    /** For the shell: the newest prefixes and their owners. */
+    public String text(int maxLines) {
+        var lines = new StringBuilder("parts ").append(ownerByPrefix.size()).append('\n');
+        ownerByPrefix.object2ObjectEntrySet().stream()
+                .skip(Math.max(0, ownerByPrefix.size() - maxLines))
                 .forEach(
-                        e -> b.append(e.getKey()).append(" at ").append(e.getValue()).append('\n'));
-        return b.toString();
+                        entry ->
+                                lines.append(entry.getKey())
+                                        .append(" at ")
+                                        .append(entry.getValue())
+                                        .append('\n'));
+        return lines.toString();
     }
 
-    /** Writes what has not been told yet. */
-    public void write(RecordWriter o) {
-        o.list(untold.entrySet(), (w, e) -> w.text(e.getKey()).text(e.getValue()));
-        untold.clear();
+    /** Writes what has not been reported yet, and takes it as reported. */
+    public void writeUnreported(RecordWriter out) {
+        out.list(
+                unreported.entrySet(),
+                (item, entry) -> item.text(entry.getKey()).text(entry.getValue()));
+        unreported.clear();
     }
 
-    public void read(RecordReader in) {
+    /** Reads what other edges reported. */
+    public void readReported(RecordReader in) {
         in.list(
-                x -> {
-                    learn(x.text(), x.text());
+                item -> {
+                    setOwner(item.text(), item.text());
                     return 0;
                 });
     }
--- /dev/null
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
@@ -0,0 +1,237 @@
+package martenloom.edge.replica;
+
+import java.net.InetSocketAddress;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import martenloom.common.fleet.ReplicaRecord;
+import martenloom.common.settings.Settings;
+
+/**
+ * What this edge knows of one incarnation of a replica: its registration, and in parts of their own
+ * its load, speed, reachability, health, warm-up, prefix cache and connections. Runs on the reactor
+ * thread.
+ */
+public final class ReplicaEndpoint {
+    private ReplicaRecord registration;
+    private final String region;
+    private final InetSocketAddress address;
+    private final double tieBreakCostUs;
+    private final ReplicaLoad load = new ReplicaLoad();
+    private final LatencyEstimate latency;
+    private final Reachability reachability;
+    private final ReplicaHealth health = new ReplicaHealth();
+    private final WarmupState warmup = new WarmupState();
+    private final PrefixCache prefixCache = new PrefixCache();
+    private final ConnectionPool connections = new ConnectionPool();
+    private final Set<ReplicaAttempt> attempts = new LinkedHashSet<>();
+    private boolean unloaded;
+
+    ReplicaEndpoint(
+            ReplicaRecord registration,
+            String region,
+            double tieBreakCostUs,
+            LatencyEstimate latency,
+            long now) {
+        this.registration = registration;
+        this.region = region;
+        this.tieBreakCostUs = tieBreakCostUs;
+        this.latency = latency;
+        address = Settings.address("Address", registration.address);
+        reachability = new Reachability(now);
+    }
+
+    /** The last record of the registry. */
+    public ReplicaRecord registration() {
+        return registration;
+    }
+
+    /** Takes a newer record; a replica that was deregistered stays so. */
+    void register(ReplicaRecord newer) {
+        var wasDeregistered = registration.gone;
+        registration = newer;
+        registration.gone |= wasDeregistered;
+    }
+
+    void deregister() {
+        registration.gone = true;
+    }
+
+    /** The id of this incarnation. */
+    public String id() {
+        return registration.id;
+    }
+
+    /** The service that it serves. */
+    public String service() {
+        return registration.service;
+    }
+
+    /** Its zone. */
+    public String zone() {
+        return registration.zone;
+    }
+
+    /** The region of its zone. */
+    public String region() {
+        return region;
+    }
+
+    /** The address at which it takes requests. */
+    public InetSocketAddress address() {
+        return address;
+    }
+
+    /** How many requests it serves at a time. */
+    public int capacity() {
+        return registration.capacity;
+    }
+
+    /** Whether it takes no new requests and finishes what it has. */
+    public boolean isDraining() {
+        return registration.draining;
+    }
+
+    /** Whether it was deregistered. */
+    public boolean isDeregistered() {
+        return registration.gone;
+    }
+
+    /** Whether the registry no longer gets its heartbeats. */
+    public boolean isUnresponsive() {
+        return registration.silent;
+    }
+
+    /** Whether it is neither draining nor unresponsive by the registry. */
+    public boolean isAvailable() {
+        return !registration.draining && !registration.silent;
+    }
+
+    /** Whether it has warmed up. */
+    public boolean isWarm(long now) {
+        return warmup.isWarm(registration.warmAtUs, now);
+    }
+
+    /** Whether the scaler has unloaded it: it gets no new prompts and finishes what it has. */
+    public boolean isUnloaded() {
+        return unloaded;
+    }
+
+    /** Sets whether the scaler has unloaded it. */
+    public void setUnloaded(boolean unloaded) {
+        this.unloaded = unloaded;
+    }
+
+    /**
+     * A small cost of this edge's own, in microseconds, so that edges prefer different replicas,
+     * and the same ones as before, while all have room.
+     */
+    public double tieBreakCostUs() {
+        return tieBreakCostUs;
+    }
+
+    public ReplicaLoad load() {
+        return load;
+    }
+
+    public LatencyEstimate latency() {
+        return latency;
+    }
+
+    public Reachability reachability() {
+        return reachability;
+    }
+
+    public ReplicaHealth health() {
+        return health;
+    }
+
+    public WarmupState warmup() {
+        return warmup;
+    }
+
+    public PrefixCache prefixCache() {
+        return prefixCache;
+    }
+
+    public ConnectionPool connections() {
+        return connections;
+    }
+
+    /** How many attempts of this edge are in flight. */
+    public int attemptCount() {
+        return attempts.size();
+    }
+
+    /** A copy of the attempts of this edge in flight, in the order in which they began. */
+    public List<ReplicaAttempt> attempts() {
+        return List.copyOf(attempts);
+    }
+
+    /** Whether the first event of an answer to some attempt in flight has come. */
+    public boolean hasStartedAttempt() {
+        for (var attempt : attempts) {
+            if (attempt.started()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /**
+     * The moment at which the first of the attempts in flight was sent, in microseconds; the given
+     * one when none was sent.
+     */
+    public long firstSentUs(long ifNoneUs) {
+        var first = Long.MAX_VALUE;
+        for (var attempt : attempts) {
+            if (attempt.sentUs() > 0) {
+                first = Math.min(first, attempt.sentUs());
+            }
+        }
+        return first == Long.MAX_VALUE ? ifNoneUs : first;
+    }
+
+    /** An attempt begins that makes the replica prefill so many tokens. */
+    public void addAttempt(ReplicaAttempt attempt, int prefillTokens) {
+        load.onAttempt(prefillTokens);
+        attempts.add(attempt);
+    }
+
+    /** An attempt has ended. */
+    public void removeAttempt(ReplicaAttempt attempt) {
+        load.onAttemptEnd();
+        attempts.remove(attempt);
+        if (attempts.isEmpty()) {
+            reachability.onIdle();
+        }
+    }
+
+    /**
+     * The attempts that wait for their connection: they will count against the limit of a replica
+     * that warms up too.
+     */
+    public int openingAttempts() {
+        var opening = 0;
+        for (var attempt : attempts) {
+            opening += attempt.isOpening() ? 1 : 0;
+        }
+        return opening;
+    }
+
+    /** A request was sent. */
+    public void onSent(long now) {
+        warmup.onSent(now);
+        reachability.onSent(now);
+    }
+
+    /**
+     * Takes what the other edges know by the last totals: their load from everywhere, suspicions
+     * and who hears the replica from our zone.
+     */
+    public void onPeerTotals(
+            int inFlight, int pendingPrefillTokens, int suspicions, int hearing, long now) {
+        load.onPeerTotals(inFlight, pendingPrefillTokens, now);
+        reachability.onPeerTotals(suspicions, hearing, now);
+    }
+}
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaHealth.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaHealth.java
@@ -1,116 +1,143 @@
 package martenloom.edge.replica;
 
 /**
- * What real answers say of one replica. A replica may fail part of its requests while it says that
- * it is well, for all callers or only for some, so its own word counts for nothing here: answers
- * do, our own and those of the edges of our zone. One that fails too large a part is ejected for a
- * while, comes back with a cost that wears off, and is ejected for twice as long if it fails again,
- * up to a bound. No input or output, no clock.
+ * Outlier detection for one replica, by the outcomes of real requests. A replica may fail part of
+ * its requests while it reports that it is well, for all callers or only for some, so its own
+ * report counts for nothing here: answers do, those to this edge and those to the edges of our
+ * zone. One that fails too large a share is ejected for a while; it recovers with a cost that wears
+ * off, and is ejected for twice as long if it fails again, up to a bound.
+ *
+ * <p>{@code HEALTHY -> EJECTED -> RECOVERING -> HEALTHY}, or back from {@code RECOVERING} to {@code
+ * EJECTED}. No input or output, no clock. Runs on the reactor thread.
  */
 public final class ReplicaHealth {
-    /** Whether a replica is used, ejected, or returning. */
+    /** Whether a replica is used, ejected, or used again at a cost. */
     public enum State {
-        FIT,
-        ASIDE,
-        RETURNING
+        HEALTHY,
+        EJECTED,
+        RECOVERING
     }
 
-    public static final long BUCKET_US = 1_500_000;
-    public static final long FIRST_US = 2_000_000;
-    public static final long MOST_US = 8_000_000;
-    public static final long RETURN_US = 2_000_000;
-    private static final long MEMORY_US = 20_000_000;
-    private static final int LEAST_BAD = 3;
-    private static final double BAD_PART = 0.25;
-    private static final double COST_US = 40_000;
-
-    private State state = State.FIT;
-    private long bucket;
-    private int ok;
-    private int bad;
-    private int okBefore;
-    private int badBefore;
-    private long ejectedUs;
-    private long lastEjectionUs;
-    private long untilUs;
-    private long deafUntilUs;
-
-    private void roll(long now) {
-        var b = now / BUCKET_US;
-        if (b != bucket) {
-            okBefore = b == bucket + 1 ? ok : 0;
-            badBefore = b == bucket + 1 ? bad : 0;
-            ok = 0;
-            bad = 0;
-            bucket = b;
+    /** The length of a window of outcomes; the present one and the one before count. */
+    public static final long WINDOW_US = 1_500_000;
+
+    public static final long MIN_EJECTION_US = 2_000_000;
+    public static final long MAX_EJECTION_US = 8_000_000;
+    public static final long RECOVERY_US = 2_000_000;
+
+    /** An ejection within this time of the last one lasts for twice as long. */
+    private static final long EJECTION_MEMORY_US = 20_000_000;
+
+    private static final int MIN_FAILURES = 3;
+    private static final double MAX_FAILURE_RATE = 0.25;
+    private static final double RECOVERY_COST_US = 40_000;
+
+    private State state = State.HEALTHY;
+
+    /** When the state ends, in microseconds; of no meaning while healthy. */
+    private long stateEndUs;
+
+    private long window;
+    private int successes;
+    private int failures;
+    private int previousSuccesses;
+    private int previousFailures;
+    private long ejectionUs;
+    private long ejectedAtUs;
+
+    /** Until then outcomes are those of requests from before the ejection. */
+    private long ignoreOutcomesUntilUs;
+
+    private void advanceWindow(long now) {
+        var current = now / WINDOW_US;
+        if (current != window) {
+            previousSuccesses = current == window + 1 ? successes : 0;
+            previousFailures = current == window + 1 ? failures : 0;
+            successes = 0;
+            failures = 0;
+            window = current;
         }
     }
 
-    public void answered(boolean well, long now) {
-        roll(now);
-        ok += well ? 1 : 0;
-        bad += well ? 0 : 1;
+    /** Takes the outcome of a request. */
+    public void onOutcome(boolean success, long now) {
+        advanceWindow(now);
+        successes += success ? 1 : 0;
+        failures += success ? 0 : 1;
     }
 
-    public int ok(long now) {
-        roll(now);
-        return ok + okBefore;
+    /** The requests that succeeded lately. */
+    public int successes(long now) {
+        advanceWindow(now);
+        return successes + previousSuccesses;
     }
 
-    public int bad(long now) {
-        roll(now);
-        return bad + badBefore;
+    /** The requests that failed lately. */
+    public int failures(long now) {
+        advanceWindow(now);
+        return failures + previousFailures;
     }
 
-    /** Whether this many good and bad answers of late are reason to put a replica aside. */
-    public static boolean unfit(int ok, int bad) {
-        return bad >= LEAST_BAD && bad >= BAD_PART * (ok + bad);
+    /** Whether these recent outcomes are reason to eject a replica. */
+    public static boolean exceedsFailureRate(int successes, int failures) {
+        return failures >= MIN_FAILURES && failures >= MAX_FAILURE_RATE * (successes + failures);
     }
 
     /**
-     * Takes evidence; a replica that has just been ejected or come back is not judged by what it
-     * did before.
+     * Whether these recent outcomes make the replica an outlier. One that is ejected, or has just
+     * come back, is not judged by what it did before.
      */
-    public boolean judge(int okSeen, int badSeen, long now) {
-        tick(now);
-        return state != State.ASIDE && now >= deafUntilUs && unfit(okSeen, badSeen);
+    public boolean isOutlier(int recentSuccesses, int recentFailures, long now) {
+        advanceState(now);
+        return state != State.EJECTED
+                && now >= ignoreOutcomesUntilUs
+                && exceedsFailureRate(recentSuccesses, recentFailures);
     }
 
+    /** Ejects the replica. */
     public void eject(long now) {
-        var again = lastEjectionUs > 0 && now - lastEjectionUs < MEMORY_US;
-        ejectedUs = again ? Math.min(MOST_US, ejectedUs * 2) : FIRST_US;
-        lastEjectionUs = now;
-        become(State.ASIDE, now + ejectedUs);
+        var again = ejectedAtUs > 0 && now - ejectedAtUs < EJECTION_MEMORY_US;
+        ejectionUs = again ? Math.min(MAX_EJECTION_US, ejectionUs * 2) : MIN_EJECTION_US;
+        ejectedAtUs = now;
+        become(State.EJECTED, now + ejectionUs);
     }
 
-    private void become(State s, long until) {
-        state = s;
-        untilUs = until;
-        if (s == State.RETURNING) {
-            deafUntilUs = until - RETURN_US + 2 * BUCKET_US / 3;
-            ok = 0;
-            bad = 0;
-            okBefore = 0;
-            badBefore = 0;
+    private void become(State next, long endUs) {
+        state = next;
+        stateEndUs = endUs;
+        if (next == State.RECOVERING) {
+            ignoreOutcomesUntilUs = endUs - RECOVERY_US + WINDOW_US * 2 / 3;
+            successes = 0;
+            failures = 0;
+            previousSuccesses = 0;
+            previousFailures = 0;
         }
     }
 
-    private void tick(long now) {
-        if (state == State.ASIDE && now >= untilUs) {
-            become(State.RETURNING, untilUs + RETURN_US);
+    private void advanceState(long now) {
+        if (state == State.EJECTED && now >= stateEndUs) {
+            become(State.RECOVERING, stateEndUs + RECOVERY_US);
         }
-        if (state == State.RETURNING && now >= untilUs) {
-            become(State.FIT, 0);
+        if (state == State.RECOVERING && now >= stateEndUs) {
+            become(State.HEALTHY, 0);
         }
     }
 
+    /** The state at a moment. */
     public State state(long now) {
-        tick(now);
+        advanceState(now);
         return state;
     }
 
-    /** What is added to the predicted time while it comes back. */
-    public double costUs(long now) {
-        return state(now) == State.RETURNING ? COST_US * (untilUs - now) / RETURN_US : 0;
+    /** Whether the replica is ejected at a moment. */
+    public boolean isEjected(long now) {
+        return state(now) == State.EJECTED;
+    }
+
+    /** What is added to the predicted latency while the replica recovers, in microseconds. */
+    public double recoveryCostUs(long now) {
+        return state(now) == State.RECOVERING
+                ? RECOVERY_COST_US * (stateEndUs - now) / RECOVERY_US
+                : 0;
     }
 }
--- a/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
+++ b/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
@@ -17,6 +17,7 @@
 import martenloom.common.load.LoadSummary;
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.RequestDispatcher;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 
 /**
@@ -119,18 +120,18 @@
         return floor.table().scaling.getOrDefault(model, defaults);
     }
 
-    private List<ReplicaTable.Slot> registered(String model) {
-        var l = new ArrayList<ReplicaTable.Slot>();
+    private List<ReplicaEndpoint> registered(String model) {
+        var l = new ArrayList<ReplicaEndpoint>();
         for (var s : replicaTable.all()) {
-            var svc = floor.table().services.get(s.row.service);
+            var svc = floor.table().services.get(s.service());
             if (svc != null
                     && svc.engine
                     && svc.model.equals(model)
-                    && s.region.equals(region)
-                    && !s.row.draining
-                    && !s.row.gone
-                    && !s.row.silent
-                    && !floor.evacuated().contains(s.row.zone)) {
+                    && s.region().equals(region)
+                    && !s.isDraining()
+                    && !s.isDeregistered()
+                    && !s.isUnresponsive()
+                    && !floor.evacuated().contains(s.zone())) {
                 l.add(s);
             }
         }
@@ -145,7 +146,7 @@
             models.remove(key);
             return;
         }
-        var running = (int) all.stream().filter(s -> !s.resting).count();
+        var running = (int) all.stream().filter(s -> !s.isUnloaded()).count();
         var m =
                 models.computeIfAbsent(
                         key,
@@ -163,7 +164,7 @@
                 new ScaleMachine.Fleet(
                         all.size(),
                         running,
-                        all.stream().mapToInt(s -> s.row.capacity).max().orElse(1));
+                        all.stream().mapToInt(s -> s.capacity()).max().orElse(1));
         m.inFlight = whole.flights().getOrDefault(key, 0);
         if (m.machine.sample(m.inFlight, enough, now)) {
             m.machine.decide(fleet, now);
@@ -173,7 +174,7 @@
 
     /** Says who rests when that differs from what the core holds; one order at a time. */
     private void order(
-            String key, Model m, Optional<Placed> held, List<ReplicaTable.Slot> all, long now) {
+            String key, Model m, Optional<Placed> held, List<ReplicaEndpoint> all, long now) {
         var d = m.machine.desired();
         if (m.busy(now) || held.isEmpty() && d >= all.size()) {
             return;
@@ -210,17 +211,18 @@
      * Those that rest stay at rest; others join by the least kept prefixes and load, or the richest
      * come back.
      */
-    private Set<String> resting(List<ReplicaTable.Slot> all, int desired, String key) {
+    private Set<String> resting(List<ReplicaEndpoint> all, int desired, String key) {
         var least = homeBinds(key) ? 1 : 0;
         var n = Math.max(0, all.size() - Math.max(least, desired));
         var l = new ArrayList<>(all);
         l.sort(
-                Comparator.comparing((ReplicaTable.Slot s) -> !s.resting)
-                        .thenComparingLong(ReplicaTable.Slot::keptTokens)
-                        .thenComparingInt(s -> s.mine)
-                        .thenComparing(s -> s.row.id));
+                Comparator.comparing((ReplicaEndpoint s) -> !s.isUnloaded())
+                        .thenComparingLong(
+                                (ReplicaEndpoint replica) -> replica.prefixCache().totalTokens())
+                        .thenComparingInt(s -> s.load().ownInFlight())
+                        .thenComparing(s -> s.id()));
         var r = new TreeSet<String>();
-        l.stream().limit(n).forEach(s -> r.add(s.row.id));
+        l.stream().limit(n).forEach(s -> r.add(s.id()));
         return r;
     }
 
@@ -278,7 +280,7 @@
                                     x.average(),
                                     x.wanted(),
                                     x.desired(),
-                                    all.stream().filter(s -> !s.resting).count(),
+                                    all.stream().filter(s -> !s.isUnloaded()).count(),
                                     all.size(),
                                     x.phase(),
                                     x.why(),
--- a/edge/src/test/java/martenloom/edge/replica/PrefixOwnersTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/PrefixOwnersTest.java
@@ -8,39 +8,39 @@
 import martenloom.common.codec.RecordWriter;
 import org.junit.jupiter.api.Test;
 
-/** Where shared parts are kept is told to the home once, and the newest word counts. */
+/** The owner of a prefix is reported to the home once, and the newest report counts. */
 final class PrefixOwnersTest {
-    private static RecordReader told(PrefixOwners p) {
-        var o = new RecordWriter();
-        p.write(o);
-        return new RecordReader(o.bytes(), false);
+    private static RecordReader reported(PrefixOwners owners) {
+        var out = new RecordWriter();
+        owners.writeUnreported(out);
+        return new RecordReader(out.bytes(), false);
     }
 
     @Test
-    void aSendingIsToldOnceAndTheNewestCounts() {
+    void aSendingIsReportedOnceAndTheNewestCounts() {
         var a = new PrefixOwners();
         var b = new PrefixOwners();
-        a.put("part", "r1");
-        assertFalse(a.told());
-        b.read(told(a));
-        assertEquals("r1", b.prefixOwner("part").get());
-        a.put("part", "r2");
-        b.read(told(a));
-        assertEquals("r2", b.prefixOwner("part").get());
-        assertTrue(a.told());
+        a.onSent("part", "r1");
+        assertFalse(a.isAllReported());
+        b.readReported(reported(a));
+        assertEquals("r1", b.ownerOf("part").get());
+        a.onSent("part", "r2");
+        b.readReported(reported(a));
+        assertEquals("r2", b.ownerOf("part").get());
+        assertTrue(a.isAllReported());
         var again = new PrefixOwners();
-        again.read(told(a));
-        assertTrue(again.prefixOwner("part").isEmpty(), "what was told is not told again");
-        assertTrue(told(b).texts().isEmpty(), "what was heard is not passed on");
+        again.readReported(reported(a));
+        assertTrue(again.ownerOf("part").isEmpty(), "what was reported is not reported again");
+        assertTrue(reported(b).texts().isEmpty(), "what was heard is not passed on");
     }
 
     @Test
     void itsSizeIsBounded() {
-        var p = new PrefixOwners();
+        var owners = new PrefixOwners();
         for (var i = 0; i < 5000; i++) {
-            p.put("p" + i, "r");
+            owners.onSent("p" + i, "r");
         }
-        assertTrue(p.prefixOwner("p0").isEmpty());
-        assertEquals("r", p.prefixOwner("p4999").get());
+        assertTrue(owners.ownerOf("p0").isEmpty());
+        assertEquals("r", owners.ownerOf("p4999").get());
     }
 }
--- a/edge/src/test/java/martenloom/edge/replica/EvidenceTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReplicaEvidenceTest.java
@@ -15,7 +15,7 @@
  * An edge among many sees little of each replica itself: what the others of its zone hear, and what
  * was learned of the service, counts.
  */
-final class EvidenceTest {
+final class ReplicaEvidenceTest {
     private static final Settings SETTINGS =
             Settings.parse(
                     "NodeName = \"e\"\n"
@@ -30,36 +30,38 @@
                             + "[ListenAddresses]\n");
     private final ReplicaTable replicaTable = new ReplicaTable(SETTINGS);
 
-    private ReplicaTable.Slot slot(String id) {
-        var r = new ReplicaRecord();
-        r.id = id;
-        r.service = "s";
-        r.address = "10.0.0.9:80";
-        r.zone = "a";
-        r.seq = 1;
-        replicaTable.take(r);
-        var s = replicaTable.slot(id).get();
-        s.heardUs = 0;
-        return s;
+    private ReplicaEndpoint replica(String id) {
+        var registration = new ReplicaRecord();
+        registration.id = id;
+        registration.service = "s";
+        registration.address = "10.0.0.9:80";
+        registration.zone = "a";
+        registration.seq = 1;
+        replicaTable.register(registration);
+        var replica = replicaTable.find(id).get();
+        replica.reachability().onHeard(0);
+        return replica;
     }
 
     @Test
-    void aDoubtCountsOnlyWhileNobodyOfTheZoneHearsTheReplica() {
-        var s = slot("i");
+    void aSuspicionCountsOnlyWhileNobodyOfTheZoneHearsTheReplica() {
+        var replica = replica("i");
         var now = 1_000_000_000L;
-        s.others(4, 0, 1, 0, now);
-        assertTrue(s.othersDoubt(now));
-        assertFalse(s.othersHear(now));
-        s.others(4, 0, 1, 2, now);
-        assertFalse(s.othersDoubt(now), "one edge's silence is not the replica's");
-        assertTrue(s.othersHear(now));
-        assertFalse(s.othersHear(now + 700_000), "old sums say nothing");
-        s.others(4, 0, 0, 0, now);
-        assertFalse(s.othersDoubt(now));
+        replica.onPeerTotals(4, 0, 1, 0, now);
+        assertTrue(replica.reachability().peersSuspect(now));
+        assertFalse(replica.reachability().peersHear(now));
+        replica.onPeerTotals(4, 0, 1, 2, now);
+        assertFalse(
+                replica.reachability().peersSuspect(now),
+                "one edge's silence is not the replica's");
+        assertTrue(replica.reachability().peersHear(now));
+        assertFalse(replica.reachability().peersHear(now + 700_000), "old totals say nothing");
+        replica.onPeerTotals(4, 0, 0, 0, now);
+        assertFalse(replica.reachability().peersSuspect(now));
     }
 
     @Test
-    void whoHeardADoubtedReplicaIsToldWithTheDoubt() {
+    void whoHeardASuspectedReplicaIsReportedWithTheSuspicion() {
         var a = LoadSummary.ofEdge();
         a.put("i", 1, 0, true);
         a.put("k", 1, 0, false).heard = 1;
@@ -77,25 +79,25 @@
                                 false));
         assertEquals(1, t.load("i").doubts);
         assertEquals(1, t.load("i").heard);
-        assertEquals(0, t.load("k").heard, "nobody doubts it, so it is not told");
+        assertEquals(0, t.load("k").heard, "nobody suspects it, so it is not reported");
         assertEquals(0, new LoadSummary().add(b).less(b).load("i").heard);
     }
 
     @Test
     void replicasSeldomSeenReadAtTheRateOfTheirService() {
-        var s = slot("i");
-        var other = slot("k");
-        var first = other.rate;
+        var replica = replica("i");
+        var other = replica("k");
+        var first = other.latency().prefillTokensPerMs();
         for (var n = 0; n < 30; n++) {
-            replicaTable.learnRate(s, first * 2);
+            replicaTable.learnPrefillRate(replica, first * 2);
         }
-        assertTrue(s.rate > first * 1.9);
-        assertTrue(other.rate > first * 1.8, "it was never seen itself");
-        var own = s.rate;
+        assertTrue(replica.latency().prefillTokensPerMs() > first * 1.9);
+        assertTrue(other.latency().prefillTokensPerMs() > first * 1.8, "it was never seen itself");
+        var own = replica.latency().prefillTokensPerMs();
         for (var n = 0; n < 30; n++) {
-            replicaTable.learnRate(other, first);
+            replicaTable.learnPrefillRate(other, first);
         }
-        assertEquals(own, s.rate, "seen often enough itself");
-        assertTrue(other.rate < first * 2);
+        assertEquals(own, replica.latency().prefillTokensPerMs(), "seen often enough itself");
+        assertTrue(other.latency().prefillTokensPerMs() < first * 2);
     }
 }
--- a/edge/src/test/java/martenloom/edge/replica/ReplicaHealthTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReplicaHealthTest.java
@@ -7,48 +7,55 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Who fails too large a part is ejected, for twice as long each time up to a bound, and comes back
+ * Who fails too large a share is ejected, for twice as long each time up to a bound, and comes back
  * by degrees.
  */
 final class ReplicaHealthTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
     @Test
-    void aPartOfBadAnswersIsEnoughAndAFewAreNot() {
-        assertFalse(ReplicaHealth.unfit(0, 2));
-        assertTrue(ReplicaHealth.unfit(6, 3));
-        assertFalse(ReplicaHealth.unfit(20, 3));
-        var f = new ReplicaHealth();
+    void aShareOfFailuresIsEnoughAndAFewAreNot() {
+        assertFalse(ReplicaHealth.exceedsFailureRate(0, 2));
+        assertTrue(ReplicaHealth.exceedsFailureRate(6, 3));
+        assertFalse(ReplicaHealth.exceedsFailureRate(20, 3));
+        var health = new ReplicaHealth();
         for (var i = 0; i < 3; i++) {
-            f.answered(false, S);
+            health.onOutcome(false, SECOND_US);
         }
-        assertTrue(f.judge(f.ok(S), f.bad(S), S));
-        assertEquals(0, f.bad(9 * S), "old answers are forgotten");
+        assertTrue(
+                health.isOutlier(
+                        health.successes(SECOND_US), health.failures(SECOND_US), SECOND_US));
+        assertEquals(0, health.failures(9 * SECOND_US), "old outcomes are forgotten");
     }
 
     @Test
-    void theTimeAsideDoublesToABoundAndTheReturnIsGradual() {
-        var f = new ReplicaHealth();
-        var now = S;
+    void theEjectionTimeDoublesToABoundAndTheRecoveryIsGradual() {
+        var health = new ReplicaHealth();
+        var now = SECOND_US;
         var last = 0L;
         for (var i = 0; i < 5; i++) {
-            assertTrue(f.judge(0, 9, now));
-            f.eject(now);
+            assertTrue(health.isOutlier(0, 9, now));
+            health.eject(now);
             var from = now;
-            assertFalse(f.judge(0, 9, now), "not twice for the same");
-            while (f.state(now) == ReplicaHealth.State.ASIDE) {
+            assertFalse(health.isOutlier(0, 9, now), "not twice for the same");
+            while (health.state(now) == ReplicaHealth.State.EJECTED) {
                 now += 10_000;
             }
-            assertTrue(now - from >= last && now - from <= ReplicaHealth.MOST_US + 10_000);
+            assertTrue(now - from >= last && now - from <= ReplicaHealth.MAX_EJECTION_US + 10_000);
             assertTrue(
-                    i == 0 || now - from >= Math.min(ReplicaHealth.MOST_US, 2 * (last - 10_000)));
+                    i == 0
+                            || now - from
+                                    >= Math.min(
+                                            ReplicaHealth.MAX_EJECTION_US, 2 * (last - 10_000)));
             last = now - from;
-            assertEquals(ReplicaHealth.State.RETURNING, f.state(now));
-            assertTrue(f.costUs(now) > f.costUs(now + S), "the cost wears off");
-            assertFalse(f.judge(0, 9, now), "what it did before is not held against it");
+            assertEquals(ReplicaHealth.State.RECOVERING, health.state(now));
+            assertTrue(
+                    health.recoveryCostUs(now) > health.recoveryCostUs(now + SECOND_US),
+                    "the cost wears off");
+            assertFalse(health.isOutlier(0, 9, now), "what it did before is not held against it");
             now += 1_500_000;
         }
-        assertEquals(ReplicaHealth.State.FIT, f.state(now + 2 * S));
-        assertEquals(0, f.costUs(now + 2 * S));
+        assertEquals(ReplicaHealth.State.HEALTHY, health.state(now + 2 * SECOND_US));
+        assertEquals(0, health.recoveryCostUs(now + 2 * SECOND_US));
     }
 }
