--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -34,6 +34,7 @@
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
 import martenloom.edge.overload.Overload;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.WarmupPermits;
 import martenloom.edge.scaling.ScaleRunner;
@@ -110,7 +111,9 @@
         core = new CoreClient(loop, home);
         reporting = new OverloadReporting(settings, dispatcher, this::tell);
         load = new LoadView(replicaTable, dispatcher, settings.ip, life);
-        scaler = new ScaleRunner(dispatcher, settings.region, scaling, this::orderReplicas);
+        scaler =
+                new ScaleRunner(
+                        dispatcher, replicaTable, settings.region, scaling, this::orderReplicas);
         jobs =
                 new JobRunner(
                         dispatcher,
@@ -329,12 +332,12 @@
         var newRevision = in.i64();
         var routingText = in.text();
         var evacuated = in.texts();
-        var placed = new TreeMap<String, ScaleRunner.Placed>();
+        var placed = new TreeMap<String, ReplicaPlacement>();
         in.list(
                 item ->
                         placed.put(
                                 item.text(),
-                                new ScaleRunner.Placed(
+                                new ReplicaPlacement(
                                         item.i32(), item.flag(), new TreeSet<>(item.texts()))));
         if (newEdition <= edition || newRevision < revision) {
             return;
--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -9,16 +9,17 @@
 import java.util.Optional;
 import martenloom.common.clock.Clocks;
 import martenloom.edge.http.Head;
+import martenloom.edge.replica.InFlightAttempt;
 import martenloom.edge.replica.PooledConnection;
-import martenloom.edge.replica.ReplicaAttempt;
 import martenloom.edge.replica.ReplicaEndpoint;
+import martenloom.edge.replica.ResponseListener;
 
 /**
  * One attempt of an request at one replica: opens or takes a connection, sends the request, and
  * turns the answer into events for the dispatcher. What came to nothing is told by how far it got,
  * for that decides whether another attempt is allowed.
  */
-public final class Attempt implements ReplicaAttempt {
+public final class Attempt implements InFlightAttempt, ResponseListener {
     /** How far an attempt has come; exactly one at any time. */
     public enum State {
         OPENING,
@@ -104,7 +105,7 @@
     }
 
     @Override
-    public boolean isOpening() {
+    public boolean connecting() {
         return state == State.OPENING;
     }
 
@@ -119,6 +120,10 @@
     }
 
     @Override
+    public boolean prefilled() {
+        return started();
+    }
+
     public boolean started() {
         return firstUs > 0;
     }
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaConnection.java
@@ -7,8 +7,8 @@
 import martenloom.edge.http.Chunks;
 import martenloom.edge.http.Head;
 import martenloom.edge.replica.PooledConnection;
-import martenloom.edge.replica.ReplicaAttempt;
 import martenloom.edge.replica.ReplicaEndpoint;
+import martenloom.edge.replica.ResponseListener;
 
 /**
  * One connection to a replica. It serves one attempt at a time and reads that attempt's answer; an
@@ -29,7 +29,7 @@
     private final SocketConnection wire;
     private final ReplicaEndpoint slot;
     private State state = State.IDLE;
-    private Optional<ReplicaAttempt> attempt = Optional.empty();
+    private Optional<ResponseListener> attempt = Optional.empty();
     private boolean skipping;
     private int skips;
     private int left;
@@ -67,7 +67,7 @@
      * to the next.
      */
     @Override
-    public boolean lastServed(String attempt) {
+    public boolean lastCarried(String attempt) {
         return !attempt.isEmpty() && lastAttempt.equals(attempt);
     }
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void send(ReplicaAttempt l, byte[] head, byte[] body) {
+    public void send(ResponseListener l, byte[] head, byte[] body) {
         wasIdleUs = idleUs(Clocks.nowUs());
         served = idleSinceUs > 0;
         lastAttempt = l.requestId();
@@ -105,7 +105,7 @@
     @Override
     public void onBytes() {
         heard = true;
-        slot.reachability().onHeard(Clocks.nowUs());
+        slot.onBytesReceived(Clocks.nowUs());
         try {
             while (wire.size() > 0 && state != State.CLOSED && step()) {}
         } catch (Head.BadHead e) {
@@ -244,12 +244,11 @@
                         && skips == 0
                         && wire.size() == 0
                         && wire.isOpen()
-                        && !slot.isDeregistered()
-                        && !slot.isDraining();
+                        && slot.keepsIdleConnections();
         if (again) {
             wire.hold(false);
             idleSinceUs = Clocks.nowUs();
-            slot.connections().addIdle(this);
+            slot.onIdle(this);
         } else {
             close();
         }
@@ -262,15 +261,14 @@
             return;
         }
         if (state == State.HEAD && attempt.isPresent() && !heard && wasIdleUs > 0) {
-            slot.connections().onIdleReset(wasIdleUs);
+            slot.onReuseFailed(wasIdleUs);
         }
         var whole = state == State.BODY && endsWithConnection && wire.endedByPeer();
         state = State.CLOSED;
-        slot.connections().onClosed();
-        slot.connections().removeIdle(this);
+        slot.onClosed(this);
         var l = attempt;
         attempt = Optional.empty();
-        l.ifPresent(whole ? ReplicaAttempt::onConnectionEnd : ReplicaAttempt::onBroken);
+        l.ifPresent(whole ? ResponseListener::onConnectionEnd : ResponseListener::onBroken);
     }
 
     @Override
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -13,8 +13,8 @@
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaEndpoint;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -38,7 +38,7 @@
     private final Overload.Receiver reports;
     private RouteTable table = RouteTable.EMPTY;
     private Set<String> evacuated = Set.of();
-    private Map<String, ScaleRunner.Placed> placed = Map.of();
+    private Map<String, ReplicaPlacement> placed = Map.of();
     private int edges = 1;
     private int turn = new Random().nextInt(1 << 20);
     private long spilled;
@@ -64,7 +64,7 @@
         markResting();
     }
 
-    void onPlaced(Map<String, ScaleRunner.Placed> p) {
+    void onPlaced(Map<String, ReplicaPlacement> p) {
         placed = p;
         markResting();
     }
@@ -197,7 +197,7 @@
             return false;
         }
         if (!s.isWarm(now) && svc.warmPerS > 0) {
-            if (s.warmup().recentSends(now) + s.openingAttempts() >= coldShare(s, svc, now)) {
+            if (s.warmup().recentSends(now) + s.connectingAttempts() >= coldShare(s, svc, now)) {
                 return false;
             }
         }
@@ -237,7 +237,7 @@
                 continue;
             }
             var c =
-                    replicaTable.predictor().predictUs(s, svc, e, false, now)
+                    replicaTable.predictor().predictUs(s, svc, e.route, e, false, now)
                             + s.tieBreakCostUs()
                             + s.health().recoveryCostUs(now)
                             - (bonus.isPresent() && bonus.get() == s ? AFFINITY_US : 0);
@@ -352,7 +352,7 @@
             if (!usable(s, svc, e, now)
                     || crowded(s, svc, e, now)
                     || in > 16 + least * 2
-                    || replicaTable.predictor().predictUs(s, svc, e, kept && i == 0, now)
+                    || replicaTable.predictor().predictUs(s, svc, e.route, e, kept && i == 0, now)
                             > (kept && i == 0 ? roomOfPrefixOwner(e, now) : room)) {
                 continue;
             }
--- a/edge/src/main/java/martenloom/edge/dispatch/Request.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Request.java
@@ -120,23 +120,23 @@
     }
 
     @Override
-    public RouteTable.Route route() {
-        return route;
+    public int tokens() {
+        return promptTokens;
     }
 
     @Override
-    public int promptTokens() {
-        return promptTokens;
+    public int segmentCount() {
+        return sizes.size();
     }
 
     @Override
-    public List<String> parts() {
-        return parts;
+    public String segment(int index) {
+        return parts.get(index);
     }
 
     @Override
-    public List<Integer> partTokens() {
-        return sizes;
+    public int segmentTokens(int index) {
+        return sizes.get(index);
     }
 
     public State state() {
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -16,8 +16,9 @@
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaEndpoint;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.edge.scaling.ScaleRunner;
+import martenloom.edge.replica.RoutingView;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -26,7 +27,10 @@
  * attempts and their budget are decided here; which replica is the chooser's.
  */
 public final class RequestDispatcher
-        implements ClientConnection.RequestDispatcher, RequestQueues.Owner, AttemptResults.Owner {
+        implements ClientConnection.RequestDispatcher,
+                RequestQueues.Owner,
+                AttemptResults.Owner,
+                RoutingView {
     private final Eventloop loop;
     private final Settings settings;
     public final ReplicaTable replicaTable;
@@ -78,7 +82,7 @@
         chooser.onTable(table);
     }
 
-    public void onPlaced(Map<String, ScaleRunner.Placed> placed) {
+    public void onPlaced(Map<String, ReplicaPlacement> placed) {
         chooser.onPlaced(placed);
     }
 
@@ -94,6 +98,7 @@
         return chooser.edges();
     }
 
+    @Override
     public Set<String> evacuated() {
         return chooser.evacuated();
     }
@@ -221,7 +226,7 @@
                         now);
         client.request = Optional.of(request);
         budget.request(request.service, now);
-        replicaTable.predictor().learnPromptSize(request);
+        replicaTable.predictor().learnPromptSize(request.route, request);
         if (request.deadlineUs <= now + 1000 || late.tooLate(request, now)) {
             completion.refuse(request, 0.1);
             return;
--- a/edge/src/main/java/martenloom/edge/dispatch/SilenceWatch.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/SilenceWatch.java
@@ -59,7 +59,7 @@
                     Math.max(200_000, s.latency().serviceTimeUs() * 5 + s.latency().roundTripUs());
         }
         var unread = s.load().pendingPrefillTokens(Clocks.nowUs());
-        if (s.hasStartedAttempt()) {
+        if (s.hasPrefilledAttempt()) {
             var pieces = Math.min(unread, LatencyPredictor.PREFILL_CHUNK_TOKENS * svc.stepSize);
             return (long)
                     (450_000
--- a/edge/src/main/java/martenloom/edge/replica/ConnectionPool.java
+++ b/edge/src/main/java/martenloom/edge/replica/ConnectionPool.java
@@ -60,7 +60,7 @@
     public Optional<PooledConnection> takeIdle(String requestId, long trustUs, long now) {
         for (var i = idle.iterator(); i.hasNext(); ) {
             var connection = i.next();
-            if (connection.lastServed(requestId)) {
+            if (connection.lastCarried(requestId)) {
                 continue;
             }
             i.remove();
--- a/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
+++ b/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
@@ -67,26 +67,26 @@
     }
 
     /** Takes the size of a prompt. */
-    public void learnPromptSize(Prompt prompt) {
-        var route = prompt.route().name;
-        var usual = usualPromptTokens.getOrDefault(route, (double) prompt.promptTokens());
-        usualPromptTokens.put(route, usual + (prompt.promptTokens() - usual) * PROMPT_SIZE_WEIGHT);
+    public void learnPromptSize(RouteTable.Route route, Prompt prompt) {
+        var usual = usualPromptTokens.getOrDefault(route.name, (double) prompt.tokens());
+        usualPromptTokens.put(route.name, usual + (prompt.tokens() - usual) * PROMPT_SIZE_WEIGHT);
     }
 
     /**
      * The predicted time from now to the first token of a request (or to the whole answer, for a
      * plain service), in microseconds.
      *
-     * @param assumeShared whether the replica is taken to have the shared parts of the prompt
+     * @param assumeShared whether the replica is taken to have the shared segments of the prompt
      */
     public double predictUs(
             ReplicaEndpoint replica,
             RouteTable.Service service,
+            RouteTable.Route route,
             Prompt prompt,
             boolean assumeShared,
             long now) {
         return service.engine
-                ? predictEngineUs(replica, prompt, assumeShared, now)
+                ? predictEngineUs(replica, route, prompt, assumeShared, now)
                 : predictPlainUs(replica, now);
     }
 
@@ -103,19 +103,23 @@
     }
 
     private double predictEngineUs(
-            ReplicaEndpoint replica, Prompt prompt, boolean assumeShared, long now) {
+            ReplicaEndpoint replica,
+            RouteTable.Route route,
+            Prompt prompt,
+            boolean assumeShared,
+            long now) {
         var inFlight = replica.load().inFlight(now);
         var capacity = Math.max(1, replica.capacity());
         var latency = replica.latency();
         var pending = replica.load().pendingPrefillTokens(now);
         var ahead =
-                prompt.route().rank == 0
+                route.rank == 0
                         ? Math.min(pending, PREFILL_CHUNK_TOKENS) + pending * URGENT_WAIT_SHARE
                         : pending;
         var own =
                 Math.min(
                         replica.prefixCache().missingTokens(prompt, assumeShared),
-                        Math.max(2 * usualPromptTokens(prompt.route()), PREFILL_CHUNK_TOKENS));
+                        Math.max(2 * usualPromptTokens(route), PREFILL_CHUNK_TOKENS));
         var predictedUs =
                 latency.roundTripUs()
                         + ENGINE_BASE_US
--- a/edge/src/main/java/martenloom/edge/replica/PooledConnection.java
+++ b/edge/src/main/java/martenloom/edge/replica/PooledConnection.java
@@ -1,24 +1,21 @@
 package martenloom.edge.replica;
 
-/**
- * A connection to a replica that carries one attempt at a time and is reused for later ones. All
- * methods run on the reactor thread.
- */
+/** A connection to a replica, as far as its pool is concerned. Used on the reactor thread. */
 public interface PooledConnection {
-    /** Whether another attempt may be sent on it. */
+    /** Whether another request may be sent on it. */
     boolean usable(long now);
 
     /**
      * Whether its last request had this id: a second answer to that one could not be told from one
      * to the next.
      */
-    boolean lastServed(String requestId);
+    boolean lastCarried(String requestId);
 
-    /** How long it has been waiting for its next attempt, in microseconds; 0 for a new one. */
+    /** How long it has been idle, in microseconds; 0 for a new one. */
     long idleUs(long now);
 
     /** Sends the request of an attempt, which from now on is told of the answer. */
-    void send(ReplicaAttempt attempt, byte[] head, byte[] body);
+    void send(ResponseListener listener, byte[] head, byte[] body);
 
     /** Stops or resumes reading, while the client does not keep up. */
     void hold(boolean held);
--- a/edge/src/main/java/martenloom/edge/replica/Prompt.java
+++ b/edge/src/main/java/martenloom/edge/replica/Prompt.java
@@ -1,19 +1,19 @@
 package martenloom.edge.replica;
 
-import java.util.List;
-import martenloom.routing.route.RouteTable;
-
-/** The prompt of a request, as far as it decides which replica serves it best. */
+/**
+ * The prompt of a request, as far as it decides which replica serves it best: the segments that a
+ * prefix cache can hold, each with its name and its size, and the size of the whole.
+ */
 public interface Prompt {
-    /** The route on which the request came. */
-    RouteTable.Route route();
+    /** The size of the whole prompt, in tokens. */
+    int tokens();
 
-    /** The tokens of the whole prompt. */
-    int promptTokens();
+    /** How many segments the prompt has; 0 when nothing is known of them. */
+    int segmentCount();
 
-    /** The ids of the parts of the prompt, in their order; empty when the client named none. */
-    List<String> parts();
+    /** The name of a segment. */
+    String segment(int index);
 
-    /** The tokens of each part. */
-    List<Integer> partTokens();
+    /** The size of a segment. */
+    int segmentTokens(int index);
 }
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
@@ -24,7 +24,7 @@
     private final WarmupState warmup = new WarmupState();
     private final PrefixCache prefixCache = new PrefixCache();
     private final ConnectionPool connections = new ConnectionPool();
-    private final Set<ReplicaAttempt> attempts = new LinkedHashSet<>();
+    private final Set<InFlightAttempt> attempts = new LinkedHashSet<>();
     private boolean unloaded;
 
     ReplicaEndpoint(
@@ -164,14 +164,14 @@
     }
 
     /** A copy of the attempts of this edge in flight, in the order in which they began. */
-    public List<ReplicaAttempt> attempts() {
+    public List<InFlightAttempt> attempts() {
         return List.copyOf(attempts);
     }
 
-    /** Whether the first event of an answer to some attempt in flight has come. */
-    public boolean hasStartedAttempt() {
+    /** Whether the prompt of some attempt in flight was prefilled. */
+    public boolean hasPrefilledAttempt() {
         for (var attempt : attempts) {
-            if (attempt.started()) {
+            if (attempt.prefilled()) {
                 return true;
             }
         }
@@ -193,13 +193,13 @@
     }
 
     /** An attempt begins that makes the replica prefill so many tokens. */
-    public void addAttempt(ReplicaAttempt attempt, int prefillTokens) {
+    public void addAttempt(InFlightAttempt attempt, int prefillTokens) {
         load.onAttempt(prefillTokens);
         attempts.add(attempt);
     }
 
     /** An attempt has ended. */
-    public void removeAttempt(ReplicaAttempt attempt) {
+    public void removeAttempt(InFlightAttempt attempt) {
         load.onAttemptEnd();
         attempts.remove(attempt);
         if (attempts.isEmpty()) {
@@ -211,12 +211,12 @@
      * The attempts that wait for their connection: they will count against the limit of a replica
      * that warms up too.
      */
-    public int openingAttempts() {
-        var opening = 0;
+    public int connectingAttempts() {
+        var connecting = 0;
         for (var attempt : attempts) {
-            opening += attempt.isOpening() ? 1 : 0;
+            connecting += attempt.connecting() ? 1 : 0;
         }
-        return opening;
+        return connecting;
     }
 
     /** A request was sent. */
@@ -225,6 +225,32 @@
         reachability.onSent(now);
     }
 
+    /** Bytes of the replica came. */
+    public void onBytesReceived(long nowUs) {
+        reachability.onHeard(nowUs);
+    }
+
+    /** Whether further requests may go to the replica, so that idle connections are of use. */
+    public boolean keepsIdleConnections() {
+        return !registration.gone && !registration.draining;
+    }
+
+    /** A connection has become idle and may carry another request. */
+    public void onIdle(PooledConnection connection) {
+        connections.addIdle(connection);
+    }
+
+    /** A connection was reset when it was used again after having been idle for so long. */
+    public void onReuseFailed(long idleUs) {
+        connections.onIdleReset(idleUs);
+    }
+
+    /** A connection was closed. */
+    public void onClosed(PooledConnection connection) {
+        connections.onClosed();
+        connections.removeIdle(connection);
+    }
+
     /**
      * Takes what the other edges know by the last totals: their load from everywhere, suspicions
      * and who hears the replica from our zone.
--- a/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
+++ b/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
@@ -16,9 +16,10 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.log.RingLog;
-import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.replica.ReplicaEndpoint;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.RoutingView;
 
 /**
  * The scaler of a region, at the edge that holds its duty: feeds one machine for each model with
@@ -42,9 +43,6 @@
                 BiConsumer<Integer, String> reply);
     }
 
-    /** What the core says of a region and model. */
-    public record Placed(int desired, boolean pinned, Set<String> resting) {}
-
     private static final class Model {
         final ScaleMachine machine;
         boolean telling;
@@ -69,24 +67,29 @@
 
     private static final long SETTLE_US = 3_000_000;
 
-    private final RequestDispatcher floor;
+    private final RoutingView routing;
     private final ReplicaTable replicaTable;
     private final String region;
     private final ScaleSettings defaults;
     private final OrderSink sink;
     private final Map<String, Model> models = new TreeMap<>();
-    private Map<String, Placed> placed = Map.of();
+    private Map<String, ReplicaPlacement> placed = Map.of();
     private long grant;
 
-    public ScaleRunner(RequestDispatcher f, String region, ScaleSettings defaults, OrderSink sink) {
-        floor = f;
-        replicaTable = f.replicaTable;
+    public ScaleRunner(
+            RoutingView routing,
+            ReplicaTable replicaTable,
+            String region,
+            ScaleSettings defaults,
+            OrderSink sink) {
+        this.routing = routing;
+        this.replicaTable = replicaTable;
         this.region = region;
         this.defaults = defaults;
         this.sink = sink;
     }
 
-    public void onPlaced(Map<String, Placed> p) {
+    public void onPlaced(Map<String, ReplicaPlacement> p) {
         models.forEach(
                 (k, m) -> {
                     if (!Optional.ofNullable(p.get(k)).equals(Optional.ofNullable(placed.get(k)))) {
@@ -102,7 +105,7 @@
             grant = g;
             models.clear();
         }
-        if (grant == 0 || floor.table().revision == 0) {
+        if (grant == 0 || routing.table().revision == 0) {
             return;
         }
         for (var m : engineModels()) {
@@ -112,18 +115,20 @@
 
     private Set<String> engineModels() {
         var l = new TreeSet<String>();
-        floor.table().services.values().stream().filter(s -> s.engine).forEach(s -> l.add(s.model));
+        routing.table().services.values().stream()
+                .filter(s -> s.engine)
+                .forEach(s -> l.add(s.model));
         return l;
     }
 
     private ScaleSettings settings(String model) {
-        return floor.table().scaling.getOrDefault(model, defaults);
+        return routing.table().scaling.getOrDefault(model, defaults);
     }
 
     private List<ReplicaEndpoint> registered(String model) {
         var l = new ArrayList<ReplicaEndpoint>();
         for (var s : replicaTable.all()) {
-            var svc = floor.table().services.get(s.service());
+            var svc = routing.table().services.get(s.service());
             if (svc != null
                     && svc.engine
                     && svc.model.equals(model)
@@ -131,7 +136,7 @@
                     && !s.isDraining()
                     && !s.isDeregistered()
                     && !s.isUnresponsive()
-                    && !floor.evacuated().contains(s.zone())) {
+                    && !routing.evacuated().contains(s.zone())) {
                 l.add(s);
             }
         }
@@ -142,7 +147,7 @@
         var key = region + "/" + model;
         var held = Optional.ofNullable(placed.get(key));
         var all = registered(model);
-        if (all.isEmpty() || held.isPresent() && held.get().pinned) {
+        if (all.isEmpty() || held.isPresent() && held.get().pinned()) {
             models.remove(key);
             return;
         }
@@ -154,7 +159,8 @@
                                 new Model(
                                         new ScaleMachine(
                                                 settings(model),
-                                                held.map(Placed::desired).orElse(all.size()),
+                                                held.map(ReplicaPlacement::desired)
+                                                        .orElse(all.size()),
                                                 now)));
         m.machine.adopt(settings(model));
         if (held.isEmpty() && !m.busy(now)) {
@@ -174,7 +180,11 @@
 
     /** Says who rests when that differs from what the core holds; one order at a time. */
     private void order(
-            String key, Model m, Optional<Placed> held, List<ReplicaEndpoint> all, long now) {
+            String key,
+            Model m,
+            Optional<ReplicaPlacement> held,
+            List<ReplicaEndpoint> all,
+            long now) {
         var d = m.machine.desired();
         if (m.busy(now) || held.isEmpty() && d >= all.size()) {
             return;
@@ -183,12 +193,12 @@
         var whole = d >= all.size();
         if (!whole
                 && held.isPresent()
-                && held.get().desired == d
-                && held.get().resting.equals(rest)) {
+                && held.get().desired() == d
+                && held.get().resting().equals(rest)) {
             return;
         }
         m.telling = true;
-        var inForce = held.map(Placed::desired).orElse(all.size());
+        var inForce = held.map(ReplicaPlacement::desired).orElse(all.size());
         sink.place(
                 key,
                 grant,
@@ -228,7 +238,7 @@
 
     /** Whether some route of this model may be served in this region only. */
     private boolean homeBinds(String key) {
-        var t = floor.table();
+        var t = routing.table();
         return t.routes.stream()
                 .anyMatch(
                         r ->
@@ -260,9 +270,9 @@
                                 String.format(
                                         "%s desired %d%s resting %d\n",
                                         k,
-                                        p.desired,
-                                        p.pinned ? " unloaded by the operator" : "",
-                                        p.resting.size()));
+                                        p.desired(),
+                                        p.pinned() ? " unloaded by the operator" : "",
+                                        p.resting().size()));
                     }
                 });
         models.forEach(
