--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -33,7 +33,8 @@
 import martenloom.edge.dispatch.ClientConnection;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReport;
+import martenloom.edge.overload.OverloadReportPublisher;
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.WarmupPermits;
@@ -84,7 +85,7 @@
     private final LoadView load;
     private final ScaleRunner scaler;
     private int edgesNow;
-    private final OverloadReporting reporting;
+    private final OverloadReportPublisher overloadReports;
     private final RoleLeaseClient duties;
     private Optional<SimpleServer> frontend = Optional.empty();
     private long renewals;
@@ -109,7 +110,8 @@
         duties = new RoleLeaseClient(settings, dispatcher, life);
         home = new HomeConnection(settings, loop, this, this::renewal);
         core = new CoreClient(loop, home);
-        reporting = new OverloadReporting(settings, dispatcher, this::tell);
+        overloadReports =
+                new OverloadReportPublisher(settings, dispatcher, replicaTable, this::publish);
         load = new LoadView(replicaTable, dispatcher, settings.ip, life);
         scaler =
                 new ScaleRunner(
@@ -412,20 +414,20 @@
 
     private void report() {
         var now = Clocks.nowUs();
-        reporting.tick(duties.heldReports(now), now);
+        overloadReports.tick(duties.heldReports(now), now);
     }
 
     /** The home passes a report on to the edges elsewhere, by their homes. */
-    private void tell(Overload.Report report) {
+    private void publish(OverloadReport report) {
         var out = new RecordWriter(RecordType.OVERLOAD_REPORT);
         report.write(out);
         RingLog.note("report " + report);
         home.send(out.bytes());
     }
 
-    private void onReport(Overload.Report report) {
+    private void onReport(OverloadReport report) {
         if (!report.region().equals(settings.region)) {
-            dispatcher.reports.take(report, Clocks.nowUs());
+            dispatcher.reports.onReport(report, Clocks.nowUs());
         }
     }
 
@@ -462,7 +464,7 @@
             case RecordType.JOB_LIST -> onJobs(in);
             case RecordType.ORDER_RESPONSE -> core.onAnswer(link, in);
             case RecordType.TOTAL_LOAD -> load.onWhole(in, Clocks.nowUs());
-            case RecordType.OVERLOAD_REPORT -> onReport(Overload.Report.read(in));
+            case RecordType.OVERLOAD_REPORT -> onReport(OverloadReport.read(in));
             case RecordType.SHELL_QUERY ->
                     link.send(
                             new RecordWriter(RecordType.SHELL_RESPONSE)
--- a/edge/src/main/java/martenloom/edge/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/ShellQueries.java
@@ -6,7 +6,8 @@
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReport;
+import martenloom.edge.overload.ReductionState;
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.language.RoutingLanguage;
@@ -92,38 +93,41 @@
                 .states()
                 .forEach(
                         (key, state) -> {
-                            dispatcher.reports.tick(state, now);
+                            state.advance(now);
                             lines.append(overloadState(key, state));
-                            state.report.ifPresent(
-                                    report ->
-                                            lines.append(
-                                                    overloadReport(report, state.untilUs - now)));
+                            state.report()
+                                    .ifPresent(
+                                            report ->
+                                                    lines.append(
+                                                            overloadReport(
+                                                                    report,
+                                                                    state.validUntilUs() - now)));
                             lines.append('\n');
                         });
         return lines.toString();
     }
 
-    private static String overloadState(String key, Overload.State state) {
+    private static String overloadState(String key, ReductionState state) {
         return String.format(
                 "%s %s share %.2f considered %d selected %d spilled %d held %d refused %d"
                         + " stale %d",
                 key,
-                state.phase,
-                state.share,
-                state.considered,
-                state.selected,
-                state.spilled,
-                state.held,
-                state.refused,
-                state.stale);
+                state.phase(),
+                state.share(),
+                state.considered(),
+                state.selected(),
+                state.spilled(),
+                state.queued(),
+                state.rejected(),
+                state.stale());
     }
 
-    private static String overloadReport(Overload.Report report, long validUs) {
+    private static String overloadReport(OverloadReport report, long validUs) {
         return String.format(
                 " reporter %s sequence %d.%d valid %d ms algorithm %s percent %d",
                 report.reporter(),
-                report.seq().grant(),
-                report.seq().counter(),
+                report.sequence().fencingToken(),
+                report.sequence().counter(),
                 Math.max(0, validUs) / 1000,
                 report.algorithm(),
                 report.percent());
--- a/edge/src/main/java/martenloom/edge/budget/RetryBudget.java
+++ b/edge/src/main/java/martenloom/edge/budget/RetryBudget.java
@@ -1,22 +1,50 @@
 package martenloom.edge.budget;
 
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 
 /**
- * This edge's share of the budget that all daemons hold in common for further attempts. The share
- * needs no talk: the ratio is taken of the requests this edge itself had for a service, and the
+ * This edge's share of the retry budget that all daemons have in common. The share needs no
+ * coordination: the ratio is taken of the requests that this edge itself had for a service, and the
  * slack is divided by the most edges ever known, so the sum keeps the rule when edges cannot hear
- * each other.
+ * each other. Runs on the reactor thread.
  */
 public final class RetryBudget {
+    /** The slices of a window, one more than its length, for the present slice is not full. */
     private static final int SLICES = 20;
 
+    private static final int US_PER_SECOND = 1_000_000;
+
+    /** The part of the ratio and of the slack that is used; the rest covers what is in flight. */
+    private static final double USED_RATIO = 0.7;
+
+    private static final double USED_SLACK = 0.9;
+
+    /** The requests and retries of one service, by slices of time. */
     private static final class Window {
-        final int[] requests = new int[SLICES];
-        final int[] repeats = new int[SLICES];
-        long slice = -1;
+        private final int[] requests = new int[SLICES];
+        private final int[] retries = new int[SLICES];
+        private long slice = -1;
+
+        private void advance(long current) {
+            for (var i = Math.max(slice + 1, current - SLICES + 1); i <= current; i++) {
+                requests[(int) (i % SLICES)] = 0;
+                retries[(int) (i % SLICES)] = 0;
+            }
+            slice = current;
+        }
+
+        private int index() {
+            return (int) (slice % SLICES);
+        }
+
+        private static int sum(int[] counts) {
+            var sum = 0;
+            for (var count : counts) {
+                sum += count;
+            }
+            return sum;
+        }
     }
 
     private final double ratio;
@@ -24,37 +52,47 @@
     private final long sliceUs;
     private final Map<String, Window> windows = new HashMap<>();
 
+    /**
+     * Creates an unspent budget.
+     *
+     * @param ratio the retries that are allowed for each request
+     * @param windowS the length of the window in which both are counted, in seconds
+     * @param slack the retries that are allowed besides, at all edges together
+     */
     public RetryBudget(double ratio, double windowS, double slack) {
         this.ratio = ratio;
         this.slack = slack;
-        sliceUs = Math.max(1, (long) (windowS * 1_000_000 / (SLICES - 1)));
+        sliceUs = Math.max(1, (long) (windowS * US_PER_SECOND / (SLICES - 1)));
     }
 
-    private Window at(String service, long now) {
-        var w = windows.computeIfAbsent(service, k -> new Window());
-        var s = now / sliceUs;
-        for (var i = Math.max(w.slice + 1, s - SLICES + 1); i <= s; i++) {
-            w.requests[(int) (i % SLICES)] = 0;
-            w.repeats[(int) (i % SLICES)] = 0;
-        }
-        w.slice = s;
-        return w;
+    private Window window(String service, long now) {
+        var window = windows.computeIfAbsent(service, absent -> new Window());
+        window.advance(now / sliceUs);
+        return window;
     }
 
-    public void request(String service, long now) {
-        var w = at(service, now);
-        w.requests[(int) (w.slice % SLICES)]++;
+    /** A request for a service came. */
+    public void onRequest(String service, long now) {
+        var window = window(service, now);
+        window.requests[window.index()]++;
     }
 
-    /** Takes one further attempt out of the budget, if it is there. */
-    public boolean spend(String service, int edges, long now) {
-        var w = at(service, now);
-        var e = Arrays.stream(w.requests).sum();
-        var r = Arrays.stream(w.repeats).sum();
-        if (r + 1 > e * ratio * 0.7 + Math.floor(slack * 0.9 / Math.max(1, edges))) {
+    /**
+     * Takes one retry out of the budget.
+     *
+     * @param edges the most edges ever known
+     * @return whether the budget had it
+     */
+    public boolean trySpend(String service, int edges, long now) {
+        var window = window(service, now);
+        var requests = Window.sum(window.requests);
+        var retries = Window.sum(window.retries);
+        if (retries + 1
+                > requests * ratio * USED_RATIO
+                        + Math.floor(slack * USED_SLACK / Math.max(1, edges))) {
             return false;
         }
-        w.repeats[(int) (w.slice % SLICES)]++;
+        window.retries[window.index()]++;
         return true;
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import martenloom.common.clock.Clocks;
 import martenloom.common.settings.Settings;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReceiver;
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaPlacement;
@@ -35,7 +35,7 @@
     private final Settings settings;
     private final ReplicaTable replicaTable;
     private final PrefixOwners places;
-    private final Overload.Receiver reports;
+    private final OverloadReceiver reports;
     private RouteTable table = RouteTable.EMPTY;
     private Set<String> evacuated = Set.of();
     private Map<String, ReplicaPlacement> placed = Map.of();
@@ -44,7 +44,7 @@
     private long spilled;
 
     ReplicaSelector(
-            Settings p, ReplicaTable replicaTable, PrefixOwners places, Overload.Receiver reports) {
+            Settings p, ReplicaTable replicaTable, PrefixOwners places, OverloadReceiver reports) {
         settings = p;
         this.replicaTable = replicaTable;
         this.places = places;
@@ -358,7 +358,7 @@
             }
             var away = !s.region().equals(settings.region);
             var k = s.region() + "/" + svc.model;
-            if (away && e.sent == 0 && !keptAway.contains(k) && reports.select(k, now)) {
+            if (away && e.sent == 0 && !keptAway.contains(k) && reports.selectNext(k, now)) {
                 keptAway.add(k);
             }
             if (!away || !keptAway.contains(k)) {
@@ -419,7 +419,7 @@
             if (away && keptAway.contains(k)) {
                 continue;
             }
-            if (away && e.sent == 0 && svc.engine && reports.select(k, now)) {
+            if (away && e.sent == 0 && svc.engine && reports.selectNext(k, now)) {
                 keptAway.add(k);
                 continue;
             }
@@ -436,14 +436,14 @@
                     fallback, keptAway, !fallback.slot.get().region().equals(settings.region));
         }
         if (e.keptAway.isEmpty()) {
-            keptAway.forEach(k -> reports.at(k).held++);
+            keptAway.forEach(k -> reports.state(k).countQueued());
         }
         e.keptAway = keptAway;
         return Optional.empty();
     }
 
     private Optional<ReplicaEndpoint> chosen(Pick p, List<String> keptAway, boolean away) {
-        keptAway.forEach(k -> reports.at(k).spilled++);
+        keptAway.forEach(k -> reports.state(k).countSpilled());
         if (away) {
             spilled++;
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.common.clock.Clocks;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReceiver;
 
 /**
  * The requests that are open, their deadlines and their ends. A request is ended exactly once: by
@@ -29,14 +29,14 @@
 
     private final Eventloop loop;
     private final RequestDispatcher.Counters counters;
-    private final Overload.Receiver reports;
+    private final OverloadReceiver reports;
     private final SpreadCounter spread;
     private final Map<Request, Clocks.Timer> deadlines = new HashMap<>();
 
     RequestCompletion(
             Eventloop loop,
             RequestDispatcher.Counters counters,
-            Overload.Receiver reports,
+            OverloadReceiver reports,
             SpreadCounter spread) {
         this.loop = loop;
         this.counters = counters;
@@ -85,7 +85,7 @@
         }
         finish(request);
         counters.refused++;
-        request.keptAway.forEach(key -> reports.at(key).refused++);
+        request.keptAway.forEach(key -> reports.state(key).countRejected());
         request.sink.whole(ClientConnection.plain(REFUSED, spreadWait(waitS)), NO_BODY);
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -13,7 +13,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.edge.budget.RetryBudget;
 import martenloom.edge.http.Head;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReceiver;
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaPlacement;
@@ -36,7 +36,7 @@
     public final ReplicaTable replicaTable;
     public final RetryBudget budget;
     public final PrefixOwners places = new PrefixOwners();
-    public final Overload.Receiver reports = new Overload.Receiver();
+    public final OverloadReceiver reports = new OverloadReceiver();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private final RequestQueues queues = new RequestQueues(this);
     private final SilenceWatch silence = new SilenceWatch(this::table);
@@ -225,7 +225,7 @@
                         client.beganUs(),
                         now);
         client.request = Optional.of(request);
-        budget.request(request.service, now);
+        budget.onRequest(request.service, now);
         replicaTable.predictor().learnPromptSize(request.route, request);
         if (request.deadlineUs <= now + 1000 || late.tooLate(request, now)) {
             completion.refuse(request, 0.1);
@@ -335,7 +335,7 @@
         if (chosen.isEmpty()) {
             return false;
         }
-        if (request.sent > 0 && !budget.spend(request.service, edges(), now)) {
+        if (request.sent > 0 && !budget.trySpend(request.service, edges(), now)) {
             return false;
         }
         var service = table().services.get(request.service);
--- a/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
+++ b/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
@@ -18,12 +18,12 @@
     private static final double PROMPT_SIZE_WEIGHT = 0.05;
 
     /** What an engine takes for a request besides prefill. */
-    static final double ENGINE_BASE_US = 20_000;
+    private static final double ENGINE_BASE_US = 20_000;
 
     /** What each request in flight adds at an engine, and each one above its capacity. */
-    static final double ENGINE_IN_FLIGHT_US = 700;
+    private static final double ENGINE_IN_FLIGHT_US = 700;
 
-    static final double ENGINE_OVERFLOW_US = 15_000;
+    private static final double ENGINE_OVERFLOW_US = 15_000;
 
     /** The share of the service time that each request in flight adds at a plain service. */
     private static final double PLAIN_IN_FLIGHT_SHARE = 0.05;
@@ -90,6 +90,21 @@
                 : predictPlainUs(replica, now);
     }
 
+    /**
+     * The predicted time from now to the first token of a new prompt, by the load of its engine
+     * alone, in microseconds.
+     */
+    public static double predictNewPromptUs(ReplicaEndpoint replica, long now) {
+        var inFlight = replica.load().inFlight(now);
+        var capacity = Math.max(1, replica.capacity());
+        return ENGINE_BASE_US
+                + replica.load().pendingPrefillTokens(now)
+                        / replica.latency().prefillTokensPerMs()
+                        * 1000
+                + inFlight * ENGINE_IN_FLIGHT_US
+                + (inFlight > capacity ? (inFlight - capacity) * ENGINE_OVERFLOW_US : 0);
+    }
+
     private static double predictPlainUs(ReplicaEndpoint replica, long now) {
         var inFlight = replica.load().inFlight(now);
         var capacity = Math.max(1, replica.capacity());
--- a/edge/src/test/java/martenloom/edge/budget/RetryBudgetTest.java
+++ b/edge/src/test/java/martenloom/edge/budget/RetryBudgetTest.java
@@ -19,11 +19,11 @@
             var now = t * 100_000L + 5;
             for (var p : budgets) {
                 for (var k = 0; k < (t < 200 ? 3 : 0); k++) {
-                    p.request("s", now);
+                    p.onRequest("s", now);
                     requests[t]++;
                 }
                 for (var k = 0; k < 5; k++) {
-                    repeats[t] += p.spend("s", edges, now) ? 1 : 0;
+                    repeats[t] += p.trySpend("s", edges, now) ? 1 : 0;
                 }
             }
         }
