--- a/edge/src/test/java/martenloom/edge/overload/OverloadReportGoldenTest.java
+++ b/edge/src/test/java/martenloom/edge/overload/OverloadReportGoldenTest.java
@@ -11,37 +11,37 @@
 final class OverloadReportGoldenTest {
     private final GoldenBytes golden = new GoldenBytes("overload-report.txt");
 
-    private static Overload.Report report() {
-        return new Overload.Report(
+    private static OverloadReport report() {
+        return new OverloadReport(
                 "north",
                 "chat",
                 "10.9.2.10",
-                new Overload.Sequence(4, 19),
+                new ReportSequence(4, 19),
                 2_000_000,
-                Overload.LOSS,
+                OverloadReport.LOSS,
                 35);
     }
 
     /** The report by which a reporter ends the condition. */
-    private static Overload.Report end() {
-        var reporter = new Overload.Reporter();
-        reporter.granted(6);
-        reporter.observe("south", "chat", "10.9.2.11", 4);
-        var last = reporter.observe("south", "chat", "10.9.2.11", 0);
+    private static OverloadReport end() {
+        var reporter = new OverloadReporter("south", "chat", "10.9.2.11");
+        reporter.onLease(6);
+        reporter.observe(4);
+        var last = reporter.observe(0);
         while (last.orElseThrow().percent() > 0) {
-            last = reporter.observe("south", "chat", "10.9.2.11", 0);
+            last = reporter.observe(0);
         }
         return last.orElseThrow();
     }
 
-    private static byte[] encoded(Overload.Report report) {
+    private static byte[] encoded(OverloadReport report) {
         var out = new RecordWriter();
         report.write(out);
         return out.bytes();
     }
 
-    private Overload.Report decoded(String name) {
-        return Overload.Report.read(new RecordReader(golden.bytes(name), false));
+    private OverloadReport decoded(String name) {
+        return OverloadReport.read(new RecordReader(golden.bytes(name), false));
     }
 
     @Test
