--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -134,7 +134,7 @@
                 "core "
                         + settings.name
                         + " starts, disk "
-                        + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
+                        + disk.map(member -> "edition " + member.state.edition()).orElse("empty"));
         var life = new SecureRandom().nextLong();
         var core = new ChainMember(settings.ip, life, disk, nearness(), Clocks.nowUs());
         core.onAway(store.awayUs());
@@ -169,7 +169,7 @@
                 new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
                 this);
         listenForCallers();
-        peers.dialAll(chain.memberState().state.roster);
+        peers.dialAll(chain.memberState().state.roster().members());
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
@@ -302,12 +302,12 @@
     private void onCommitted(ClusterState state) {
         RingLog.note(
                 "committed edition "
-                        + state.edition
+                        + state.edition()
                         + " revision "
-                        + state.revision
+                        + state.configuration().revision()
                         + " in view "
                         + chain.view());
-        peers.dialAll(state.roster);
+        peers.dialAll(state.roster().members());
         configurations.onCommitted(state);
     }
 
--- a/core/src/main/java/martenloom/core/admin/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -58,10 +58,11 @@
             case "chain" -> chainState(now);
             case "configuration" -> configuration();
             case "replicas" -> lines(registry.replicas().stream(), r -> replica(r, now));
-            case "evacuations" -> lines(chain.committed().evacuated.stream(), zone -> zone + '\n');
+            case "evacuations" ->
+                    lines(chain.committed().evacuations().zones().stream(), zone -> zone + '\n');
             case "homes" -> homes();
             case "leases" -> leases();
-            case "jobs" -> chain.committed().jobTable.text(chain.jobClockUs(now));
+            case "jobs" -> chain.committed().jobs().report(chain.jobClockUs(now));
             case "traffic" -> LinkTraffic.text();
             case "log" -> RingLog.tail(LOG_LINES);
             default -> USAGE;
@@ -74,7 +75,7 @@
 
     private String scaling() {
         return lines(
-                chain.committed().scales.entrySet().stream(),
+                chain.committed().scaling().targets().entrySet().stream(),
                 entry -> {
                     var scale = entry.getValue();
                     return String.format(
@@ -82,7 +83,7 @@
                             entry.getKey(),
                             scale.desired(),
                             scale.pinned() ? " unloaded by the operator" : "",
-                            scale.grant(),
+                            scale.fencingToken(),
                             scale.resting());
                 });
     }
@@ -108,17 +109,17 @@
                 chain.head(),
                 chain.chain(),
                 chain.staleUs(now) / 1000,
-                chain.committed().roster);
+                chain.committed().roster().members());
     }
 
     private String configuration() {
         var state = chain.committed();
         return "revision "
-                + state.revision
+                + state.configuration().revision()
                 + " edition "
-                + state.edition
+                + state.edition()
                 + '\n'
-                + state.routingText;
+                + state.configuration().routingText();
     }
 
     private static String replica(ReplicaRecord replica, long now) {
@@ -154,10 +155,12 @@
 
     private String leases() {
         return lines(
-                chain.committed().duties.entrySet().stream(),
+                chain.committed().leases().byRole().entrySet().stream(),
                 entry ->
                         String.format(
                                 "%s grant %d holder %s\n",
-                                entry.getKey(), entry.getValue().grant, entry.getValue().holder));
+                                entry.getKey(),
+                                entry.getValue().fencingToken(),
+                                entry.getValue().holder()));
     }
 }
--- a/core/src/main/java/martenloom/core/api/ControlApi.java
+++ b/core/src/main/java/martenloom/core/api/ControlApi.java
@@ -16,6 +16,7 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.Set;
+import java.util.function.BiFunction;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -31,6 +32,24 @@
 import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.CancelJob;
+import martenloom.core.state.Command.ConfirmJobResult;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.GetJob;
+import martenloom.core.state.Command.GetJobResult;
+import martenloom.core.state.Command.ListJobs;
+import martenloom.core.state.Command.Placing;
+import martenloom.core.state.Command.ReadConfiguration;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.SetPlacement;
+import martenloom.core.state.Command.StartEvacuation;
+import martenloom.core.state.Command.SubmitJob;
+import martenloom.core.state.Command.UpdateConfiguration;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.Sha256;
+import martenloom.core.state.StampedCommand;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.route.RouteTable;
 
@@ -100,22 +119,21 @@
                                         : seg.length > 2 ? "/" + seg[2] : "");
         return switch (key) {
             case "GET lookup" -> Promise.of(lookup(q));
-            case "POST configuration/replace" -> change(q, ClusterState.Act.REPLACE);
-            case "POST configuration/update" -> change(q, ClusterState.Act.UPDATE);
-            case "GET configuration/describe" ->
-                    ask(new ClusterState.Change(ClusterState.Act.READ, 0, "", ""));
-            case "POST evacuations/*/start" -> evacuation(seg[2], ClusterState.Act.EVAC_START);
-            case "POST evacuations/*/finish" -> evacuation(seg[2], ClusterState.Act.EVAC_FINISH);
+            case "POST configuration/replace" -> change(q, ReplaceConfiguration::new);
+            case "POST configuration/update" -> change(q, UpdateConfiguration::new);
+            case "GET configuration/describe" -> ask(new ReadConfiguration());
+            case "POST evacuations/*/start" -> evacuation(seg[2], StartEvacuation::new);
+            case "POST evacuations/*/finish" -> evacuation(seg[2], FinishEvacuation::new);
             case "POST placements/*/*/unload", "POST placements/*/*/load" ->
                     placement(seg[2], seg[3], seg[4]);
             case "POST instances/*/heartbeat" -> body(q).then(b -> beat(seg[2], b));
             case "POST instances/*/deregister" -> deregister(seg[2]);
             case "POST jobs/*/submit" -> body(q).then(b -> submit(seg[2], b));
-            case "GET jobs" -> ask(new ClusterState.Change(ClusterState.Act.JOB_LIST, 0, "", ""));
-            case "GET jobs/*/describe" -> job(ClusterState.Act.JOB_GET, seg[2]);
-            case "GET jobs/*/result" -> job(ClusterState.Act.JOB_RESULT, seg[2]);
-            case "POST jobs/*/confirm" -> job(ClusterState.Act.JOB_CONFIRM, seg[2]);
-            case "POST jobs/*/cancel" -> job(ClusterState.Act.JOB_CANCEL, seg[2]);
+            case "GET jobs" -> ask(new ListJobs());
+            case "GET jobs/*/describe" -> job(seg[2], GetJob::new);
+            case "GET jobs/*/result" -> job(seg[2], GetJobResult::new);
+            case "POST jobs/*/confirm" -> job(seg[2], ConfirmJobResult::new);
+            case "POST jobs/*/cancel" -> job(seg[2], CancelJob::new);
             default -> Promise.of(plain(404, "no such call: " + q.getMethod() + " " + q.getPath()));
         };
     }
@@ -139,7 +157,7 @@
 
     // ---- the operator
 
-    private Promise<HttpResponse> change(HttpRequest q, ClusterState.Act act) {
+    private Promise<HttpResponse> change(HttpRequest q, BiFunction<Long, String, Command> command) {
         var h = Optional.ofNullable(q.getHeader(BASE)).orElse("");
         long base;
         try {
@@ -147,15 +165,15 @@
         } catch (NumberFormatException e) {
             return Promise.of(plain(400, "X-Base-Revision: '" + h + "' is not a number"));
         }
-        return body(q).then(b -> ask(new ClusterState.Change(act, base, "", b)));
+        return body(q).then(b -> ask(command.apply(base, b)));
     }
 
-    private Promise<HttpResponse> evacuation(String zone, ClusterState.Act act) {
+    private Promise<HttpResponse> evacuation(String zone, Function<String, Command> command) {
         var h = URLDecoder.decode(zone, StandardCharsets.UTF_8);
         if (!settings.zones.containsKey(h)) {
             return Promise.of(plain(404, "zone '" + h + "' is not known"));
         }
-        return ask(new ClusterState.Change(act, 0, h, ""));
+        return ask(command.apply(h));
     }
 
     /**
@@ -172,50 +190,50 @@
             return Promise.of(
                     plain(inTouch.getAsBoolean() ? 404 : 503, "model '" + m + "' is not known"));
         }
-        return ask(new ClusterState.Change(ClusterState.Act.PLACE, 0, g + "/" + m, order));
+        return ask(new SetPlacement(g + "/" + m, Placing.ofWireName(order)));
     }
 
     /**
      * Hands a change over. An order gets the version on which it is accepted here, and keeps it
      * when it is handed over again.
      */
-    private Promise<HttpResponse> ask(ClusterState.Change c) {
+    private Promise<HttpResponse> ask(Command c) {
         var p = new SettablePromise<HttpResponse>();
         ask(committed.get().accepted(c), Clocks.nowUs(), p);
         return p;
     }
 
-    private void ask(ClusterState.Change c, long since, SettablePromise<HttpResponse> p) {
+    private void ask(StampedCommand c, long since, SettablePromise<HttpResponse> p) {
         chain.submit(
                 c,
                 (s, t) -> {
-                    if (s == 503 && Clocks.nowUs() - since < 850_000) {
+                    if (s == ResultCode.UNAVAILABLE && Clocks.nowUs() - since < 850_000) {
                         Clocks.after(loop, 60_000, () -> ask(c, since, p));
                         return;
                     }
                     RingLog.note(
                             "request "
-                                    + c.act
-                                    + " base "
-                                    + c.base
-                                    + " "
-                                    + c.subject
+                                    + CommandCodec.describe(c)
                                     + ": "
-                                    + s
+                                    + s.number()
                                     + " "
-                                    + (s == 200 ? "" : t));
-                    p.set(
-                            plain(
-                                    s == ClusterState.STALE_ORDER ? 503 : s,
-                                    s == 200 && t.isEmpty() ? "{}" : t));
+                                    + (s == ResultCode.OK ? "" : t));
+                    p.set(plain(httpStatus(s), s == ResultCode.OK && t.isEmpty() ? "{}" : t));
                 });
     }
 
+    /**
+     * The HTTP status of a result. The numbers of the codes are those of HTTP, save that the caller
+     * of a stale order may retry it: the same call sent again gets a fresh version.
+     */
+    private static int httpStatus(ResultCode code) {
+        return code == ResultCode.STALE_ORDER ? ResultCode.UNAVAILABLE.number() : code.number();
+    }
+
     // ---- deferred jobs
 
-    private Promise<HttpResponse> job(ClusterState.Act act, String id) {
-        return ask(
-                new ClusterState.Change(act, 0, URLDecoder.decode(id, StandardCharsets.UTF_8), ""));
+    private Promise<HttpResponse> job(String id, Function<String, Command> command) {
+        return ask(command.apply(URLDecoder.decode(id, StandardCharsets.UTF_8)));
     }
 
     private Promise<HttpResponse> submit(String id, String text) {
@@ -265,12 +283,7 @@
         }
         var o = new RecordWriter();
         j.write(o);
-        return ask(
-                new ClusterState.Change(
-                        ClusterState.Act.JOB_SUBMIT,
-                        0,
-                        j.id,
-                        Base64.getEncoder().encodeToString(o.bytes())));
+        return ask(new SubmitJob(j.id, Base64.getEncoder().encodeToString(o.bytes())));
     }
 
     private static void read(Job j, com.typesafe.config.Config c) {
@@ -303,7 +316,7 @@
         Collections.sort(f);
         j.fields = f;
         j.digest =
-                ClusterState.sha(
+                Sha256.hexDigest(
                         j.host + "\n" + j.path + "\n" + j.method + "\n" + j.region + "\n" + f + "\n"
                                 + j.dueUs,
                         j.body);
--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -11,6 +11,11 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.ScalingCommand;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The chain and its view, as one owner of events that answers with commands; it does no input or
@@ -47,7 +52,6 @@
     private static final long FIRST_BID_US = 150_000;
     private static final long SICK_HEAD_RESTS_US = 2_000_000;
     private static final int QUEUE = 256;
-    private static final int UNAVAILABLE = 503;
 
     /** The number of an order that the head gives itself. */
     private static final long OWN_ASK = -1;
@@ -114,13 +118,13 @@
     /** Make the state durable, then call onStored with the token. */
     public record Store(long token, MemberState memberState) implements Command {}
 
-    /** Answer a request that onAsk was called with; the status is one of HTTP. */
-    public record Answer(long request, int status, String text) implements Command {}
+    /** Answer a request that onAsk was called with; the code says what it came to. */
+    public record Answer(long request, ResultCode code, String text) implements Command {}
 
     /** A newer state is known to be committed. */
     public record Committed(ClusterState state) implements Command {}
 
-    private record Asked(long request, ClusterState.Change change) {}
+    private record Asked(long request, StampedCommand change) {}
 
     /** The write that is under way: whose it is, since when, and what its caller is told. */
     private record Write(long request, long sinceUs, String text) {}
@@ -180,7 +184,7 @@
 
     /** The job clock: goes on from what the state says, by this member's own steady clock. */
     public long jobClockUs(long t) {
-        return member.state().jobTable.clockUs + Math.max(0, t - clockSinceUs) + awayUs;
+        return member.state().jobs().clockUs() + Math.max(0, t - clockSinceUs) + awayUs;
     }
 
     /** Told at a start: how long this member was away, as far as is known. */
@@ -263,7 +267,9 @@
      */
     public boolean released(long t) {
         var known = member.committed;
-        var nobodyStays = known.edition > 0 && known.departed.containsAll(known.roster);
+        var nobodyStays =
+                known.edition() > 0
+                        && known.roster().departed().containsAll(known.roster().members());
         return member.released
                 || member.mode == Mode.LEARNING
                 || nobodyStays && t - leavingSinceUs > NEWCOMERS_JOIN_US;
@@ -288,20 +294,20 @@
 
     private void refuseAll() {
         var why = "the chain is being mended";
-        write.ifPresent(w -> member.output.add(new Answer(w.request, UNAVAILABLE, why)));
+        write.ifPresent(w -> member.output.add(new Answer(w.request, ResultCode.UNAVAILABLE, why)));
         write = Optional.empty();
-        barrier.refuseAll(UNAVAILABLE, why);
-        queue.forEach(a -> member.output.add(new Answer(a.request, UNAVAILABLE, why)));
+        barrier.refuseAll(ResultCode.UNAVAILABLE, why);
+        queue.forEach(a -> member.output.add(new Answer(a.request, ResultCode.UNAVAILABLE, why)));
         queue.clear();
     }
 
     public void onStored(long t, long token) {
         member.advance(t);
-        var before = member.state().edition;
+        var before = member.state().edition();
         if (!member.disk.onStored(token)) {
             return;
         }
-        if (member.state().edition != before) {
+        if (member.state().edition() != before) {
             clockSinceUs = member.nowUs;
             awayUs = 0;
         }
@@ -371,14 +377,15 @@
 
     // ---- changes asked for
 
-    public void onAsk(long t, long request, ClusterState.Change change) {
+    public void onAsk(long t, long request, StampedCommand change) {
         member.advance(t);
         if (!heading() || queue.size() + barrier.waiting() >= QUEUE) {
-            member.output.add(new Answer(request, UNAVAILABLE, "not the head of an active chain"));
+            member.output.add(
+                    new Answer(request, ResultCode.UNAVAILABLE, "not the head of an active chain"));
             return;
         }
-        if (change.act == ClusterState.Act.LEAVE) {
-            membership.onLeaveAsked(change.subject, change.base == ClusterState.LEAVE_NOW);
+        if (change.command() instanceof MarkDeparting departing) {
+            membership.onLeaveAsked(departing.member(), departing.urgency() == Urgency.IMMEDIATE);
         }
         queue.add(new Asked(request, change));
         work();
@@ -419,15 +426,15 @@
     }
 
     private void decide(Asked asked, long nextHeartbeat) {
-        var placement = asked.change.act.ofPlacement() ? survey.get() : "";
-        var change = asked.change.stamped(jobClockUs(member.nowUs)).surveyed(placement);
+        var placement = asked.change.command() instanceof ScalingCommand ? survey.get() : "";
+        var change = asked.change.stampedAt(jobClockUs(member.nowUs)).surveyed(placement);
         var outcome = member.state().decide(change);
-        if (outcome.next.isEmpty()) {
+        if (outcome.next().isEmpty()) {
             barrier.await(asked.request, outcome, nextHeartbeat);
             return;
         }
-        write = Optional.of(new Write(asked.request, member.nowUs, outcome.text));
-        replication.write(change, outcome.next.get());
+        write = Optional.of(new Write(asked.request, member.nowUs, outcome.text()));
+        replication.write(change, outcome.next().get());
     }
 
     // ---- what the parts ask and report
@@ -451,7 +458,7 @@
     /** The whole chain has accepted what this head holds. */
     void onWriteAcknowledged() {
         if (write.isPresent()) {
-            member.output.add(new Answer(write.get().request, 200, write.get().text));
+            member.output.add(new Answer(write.get().request, ResultCode.OK, write.get().text));
             write = Optional.empty();
             work();
         }
--- a/core/src/main/java/martenloom/core/chain/ChainMessage.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMessage.java
@@ -7,7 +7,8 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.core.chain.ChainMember.Ballot;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The messages between members of the chain, each with its wire form: a type byte, then its fields
@@ -66,7 +67,7 @@
                     case HERE -> new Here(in.i64());
                     case PULL -> new Pull(in.i64());
                     case SNAPSHOT -> new Snapshot(in.blob());
-                    case STEP -> new Step(View.read(in), in.i64(), ClusterState.Change.read(in));
+                    case STEP -> new Step(View.read(in), in.i64(), CommandCodec.read(in));
                     default -> new Handover(Ballot.read(in));
                 });
     }
@@ -174,11 +175,11 @@
      * One write as the change alone; a member that cannot take it is given the whole state at the
      * next sending.
      */
-    record Step(View view, long edition, ClusterState.Change change) implements ChainMessage {
+    record Step(View view, long edition, StampedCommand change) implements ChainMessage {
         @Override
         public RecordWriter encode() {
             var out = view.write(new RecordWriter(STEP)).i64(edition);
-            change.write(out);
+            CommandCodec.write(out, change);
             return out;
         }
     }
--- a/core/src/main/java/martenloom/core/chain/Heartbeats.java
+++ b/core/src/main/java/martenloom/core/chain/Heartbeats.java
@@ -28,7 +28,7 @@
         member.send(
                 member.chain.get(1),
                 new ChainMessage.Heartbeat(
-                        member.view, number, member.chain, member.committed.edition, ageUs));
+                        member.view, number, member.chain, member.committed.edition(), ageUs));
     }
 
     void onHeartbeat(ChainMessage.Heartbeat beat) {
--- a/core/src/main/java/martenloom/core/chain/MemberContext.java
+++ b/core/src/main/java/martenloom/core/chain/MemberContext.java
@@ -92,7 +92,7 @@
                                 new MemberState(
                                         Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of()))),
                         output::add);
-        committed = ClusterState.founded(state().roster);
+        committed = ClusterState.founded(state().roster().members());
         topNumber = promised().n();
         heardUs = nowUs - SILENT_US;
     }
--- a/core/src/main/java/martenloom/core/chain/Membership.java
+++ b/core/src/main/java/martenloom/core/chain/Membership.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.AddMember;
+import martenloom.core.state.Command.MembershipCommand;
+import martenloom.core.state.Command.RemoveMember;
+import martenloom.core.state.StampedCommand;
 
 /**
  * Who belongs to the chain and to the roster, decided by the head between two writes.
@@ -39,7 +42,7 @@
     sealed interface Step permits Change, NewView, Nothing {}
 
     /** A change of the roster by one member, as an order like any other. */
-    record Change(ClusterState.Change change) implements Step {}
+    record Change(StampedCommand change) implements Step {}
 
     /** A new view: with those that stand outside, or without those that leave. */
     record NewView() implements Step {}
@@ -121,14 +124,14 @@
         refresh();
         var struck = missingToStrike().or(this::leaverToStrike);
         if (struck.isPresent()) {
-            return change(ClusterState.Act.ROSTER_OUT, struck.get());
+            return change(new RemoveMember(struck.get()));
         }
         if (mayLetGo() && !leaves(member.me)) {
             return new NewView();
         }
         var enrolled = toEnrol();
         if (enrolled.isPresent()) {
-            return change(ClusterState.Act.ROSTER, enrolled.get());
+            return change(new AddMember(enrolled.get()));
         }
         return member.nowUs - member.viewSinceUs >= MemberContext.SETTLE_US && someoneWaitsOutside()
                 ? new NewView()
@@ -151,16 +154,16 @@
         return Optional.of(staying().get(0));
     }
 
-    private static Step change(ClusterState.Act act, String subject) {
-        return new Change(new ClusterState.Change(act, 0, subject, ""));
+    private static Step change(MembershipCommand command) {
+        return new Change(StampedCommand.of(command));
     }
 
     private List<String> roster() {
-        return member.state().roster;
+        return member.state().roster().members();
     }
 
     private boolean departed(String m) {
-        return member.state().departed.contains(m);
+        return member.state().roster().departed().contains(m);
     }
 
     private boolean leaves(String m) {
--- a/core/src/main/java/martenloom/core/chain/NewsExchange.java
+++ b/core/src/main/java/martenloom/core/chain/NewsExchange.java
@@ -40,13 +40,13 @@
     void send() {
         sentUs = member.nowUs;
         var outside = new TreeSet<>(known);
-        outside.addAll(member.state().roster);
+        outside.addAll(member.state().roster().members());
         outside.removeAll(member.chain);
         var news =
                 new ChainMessage.News(
                         member.view,
                         member.chain,
-                        member.committed.edition,
+                        member.committed.edition(),
                         member.nowUs - barrier.provenUs());
         outside.forEach(m -> member.send(m, news));
     }
@@ -63,9 +63,9 @@
         member.chainSeen = news.chain();
         member.heardOf(news.ballot().n());
         member.told(news.proofAgeUs());
-        if (news.edition() > member.committed.edition && member.nowUs - pulledUs >= PULL_US) {
+        if (news.edition() > member.committed.edition() && member.nowUs - pulledUs >= PULL_US) {
             pulledUs = member.nowUs;
-            member.send(from, new ChainMessage.Pull(member.committed.edition));
+            member.send(from, new ChainMessage.Pull(member.committed.edition()));
         }
         if (member.leaving) {
             member.released = !news.chain().contains(member.me);
@@ -82,14 +82,14 @@
     }
 
     void onPull(String from, ChainMessage.Pull pull) {
-        if (member.committed.edition > pull.edition()) {
+        if (member.committed.edition() > pull.edition()) {
             member.send(from, new ChainMessage.Snapshot(member.committed.bytes()));
         }
     }
 
     void onSnapshot(ChainMessage.Snapshot snapshot) {
         var state = ClusterState.of(snapshot.state());
-        if (state.edition > member.committed.edition) {
+        if (state.edition() > member.committed.edition()) {
             member.committed = state;
             member.output.add(new Committed(state));
         }
--- a/core/src/main/java/martenloom/core/chain/ReadBarrier.java
+++ b/core/src/main/java/martenloom/core/chain/ReadBarrier.java
@@ -5,6 +5,8 @@
 import java.util.function.Consumer;
 import martenloom.core.chain.ChainMember.Answer;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandResult;
+import martenloom.core.state.ResultCode;
 
 /**
  * Heartbeats as proof: one that was sent after a question and has run the whole chain shows that no
@@ -15,7 +17,7 @@
     private static final int REMEMBERED = 64;
 
     /** An answer that writes nothing, until the heartbeat that proves this head. */
-    private record Unproven(long request, ClusterState.Outcome outcome, long barrier) {}
+    private record Unproven(long request, CommandResult<ClusterState> result, long barrier) {}
 
     private final Consumer<Answer> output;
     private final Deque<Unproven> unproven = new ArrayDeque<>();
@@ -79,12 +81,12 @@
         }
         while (!unproven.isEmpty() && acknowledged >= unproven.peek().barrier) {
             var u = unproven.poll();
-            output.accept(new Answer(u.request, u.outcome.status, u.outcome.text));
+            output.accept(new Answer(u.request, u.result.code(), u.result.text()));
         }
     }
 
-    void await(long request, ClusterState.Outcome outcome, long barrier) {
-        unproven.add(new Unproven(request, outcome, barrier));
+    void await(long request, CommandResult<ClusterState> result, long barrier) {
+        unproven.add(new Unproven(request, result, barrier));
     }
 
     int waiting() {
@@ -96,8 +98,8 @@
         return !unproven.isEmpty() && unproven.peekLast().barrier > number;
     }
 
-    void refuseAll(int status, String text) {
-        unproven.forEach(u -> output.accept(new Answer(u.request, status, text)));
+    void refuseAll(ResultCode code, String text) {
+        unproven.forEach(u -> output.accept(new Answer(u.request, code, text)));
         unproven.clear();
     }
 }
--- a/core/src/main/java/martenloom/core/chain/Replication.java
+++ b/core/src/main/java/martenloom/core/chain/Replication.java
@@ -7,6 +7,7 @@
 import martenloom.core.chain.ChainMember.MemberState;
 import martenloom.core.chain.ChainMember.Mode;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The way of a state down the chain: each member makes it durable before it passes it on, the tail
@@ -19,7 +20,7 @@
     private final ChainMember owner;
 
     /** The write that is to be passed on as the change alone, at its first sending. */
-    private Optional<ClusterState.Change> change = Optional.empty();
+    private Optional<StampedCommand> change = Optional.empty();
 
     /**
      * The view in which the state that opens this one was accepted, and who holds just that state.
@@ -52,7 +53,7 @@
     }
 
     /** Makes the state that a change led to durable here, then passes the change on. */
-    void write(ClusterState.Change made, ClusterState next) {
+    void write(StampedCommand made, ClusterState next) {
         var ballot = member.view;
         member.store(
                 new MemberState(ballot, ballot, next),
@@ -76,7 +77,7 @@
 
     private void passOn() {
         sentUs = member.nowUs;
-        var edition = member.state().edition;
+        var edition = member.state().edition();
         if (member.chain.size() == 1) {
             onPassAck(new ChainMessage.PassAck(member.view, edition));
             return;
@@ -99,7 +100,8 @@
         var to = view.chain().get(place);
         var whole = heldBy.contains(to) ? new byte[0] : member.state().bytes();
         member.send(
-                to, new ChainMessage.Pass(view, acceptedIn, heldBy, member.state().edition, whole));
+                to,
+                new ChainMessage.Pass(view, acceptedIn, heldBy, member.state().edition(), whole));
     }
 
     // ---- at a follower
@@ -110,10 +112,10 @@
         if (place < 1
                 || member.mode != Mode.FOLLOWING
                 || !member.holds(view.ballot())
-                || member.state().edition != step.edition() - 1) {
+                || member.state().edition() != step.edition() - 1) {
             return;
         }
-        var next = member.state().decide(step.change()).next;
+        var next = member.state().decide(step.change()).next();
         if (next.isEmpty()) {
             return;
         }
@@ -146,12 +148,12 @@
         var state = passed.get();
         member.told(0);
         if (member.accepted().equals(ballot)
-                && member.state().edition >= state.edition
+                && member.state().edition() >= state.edition()
                 && member.mode == Mode.FOLLOWING) {
             passFurther(pass, state);
             return;
         }
-        if (member.accepted().equals(ballot) && member.state().edition > state.edition) {
+        if (member.accepted().equals(ballot) && member.state().edition() > state.edition()) {
             return;
         }
         owner.become(Mode.FOLLOWING);
@@ -183,7 +185,7 @@
         }
         var acceptedIn = member.accepted();
         var held =
-                member.state().edition == pass.edition()
+                member.state().edition() == pass.edition()
                         && (acceptedIn.equals(pass.basis())
                                 || acceptedIn.equals(pass.view().ballot()));
         return held && member.mode != Mode.LEARNING
@@ -193,12 +195,13 @@
 
     private void passFurther(ChainMessage.Pass pass, ClusterState state) {
         var view = pass.view();
-        if (!member.accepted().equals(view.ballot()) || member.state().edition != state.edition) {
+        if (!member.accepted().equals(view.ballot())
+                || member.state().edition() != state.edition()) {
             return;
         }
         var place = view.chain().indexOf(member.me);
         if (view.isLast(place)) {
-            commitAtTail(view, state.edition);
+            commitAtTail(view, state.edition());
         } else {
             passState(view, pass.basis(), pass.holders(), place + 1);
         }
@@ -226,14 +229,14 @@
                 }
             }
             case STARTING -> {
-                if (ack.edition() == member.state().edition) {
+                if (ack.edition() == member.state().edition()) {
                     commit(ack.ballot(), ack.edition());
                     owner.onViewActive();
                 }
             }
             case HEADING -> {
                 commit(ack.ballot(), ack.edition());
-                if (ack.edition() == member.state().edition && member.disk.isFree()) {
+                if (ack.edition() == member.state().edition() && member.disk.isFree()) {
                     owner.onWriteAcknowledged();
                 }
             }
@@ -246,10 +249,11 @@
      */
     void commit(Ballot ballot, long edition) {
         var known = member.committed;
-        var isIt = member.accepted().equals(ballot) && member.state().edition == edition;
-        if (isIt && (edition > known.edition || known.edition == 0)) {
+        var isIt = member.accepted().equals(ballot) && member.state().edition() == edition;
+        if (isIt && (edition > known.edition() || known.edition() == 0)) {
             member.committed = member.state();
-            if (known.edition != edition || !known.roster.equals(member.committed.roster)) {
+            if (known.edition() != edition
+                    || !known.roster().members().equals(member.committed.roster().members())) {
                 member.output.add(new Committed(member.committed));
             }
         }
--- a/core/src/main/java/martenloom/core/chain/ViewAgreement.java
+++ b/core/src/main/java/martenloom/core/chain/ViewAgreement.java
@@ -101,14 +101,15 @@
         if (member.disk.isFree()
                 && now >= quietUntilUs
                 && now - member.heardUs > silenceUs
-                && member.state().roster.contains(member.me)) {
+                && member.state().roster().members().contains(member.me)) {
             bids++;
             start();
         }
     }
 
     private int rank() {
-        var members = member.chainSeen.isEmpty() ? member.state().roster : member.chainSeen;
+        var members =
+                member.chainSeen.isEmpty() ? member.state().roster().members() : member.chainSeen;
         var place = members.indexOf(member.me);
         return place < 0 ? members.size() : place;
     }
@@ -140,10 +141,10 @@
                                 member.me,
                                 new Vote(
                                         member.accepted(),
-                                        member.state().edition,
+                                        member.state().edition(),
                                         Optional.of(member.state())));
                         bid.asked.add(member.me);
-                        ask(member.state().roster);
+                        ask(member.state().roster().members());
                         tryForm();
                     }
                 });
@@ -165,7 +166,7 @@
                         new ChainMessage.Prepare(
                                 bid.ballot,
                                 member.accepted(),
-                                member.state().edition,
+                                member.state().edition(),
                                 bid.released));
             }
         }
@@ -204,12 +205,16 @@
         member.released = false;
         var state = member.state();
         var order = member.accepted().compareTo(prepare.accepted());
-        var newer = order > 0 || order == 0 && state.edition > prepare.edition();
+        var newer = order > 0 || order == 0 && state.edition() > prepare.edition();
         var whole = newer ? state.bytes() : new byte[0];
         member.send(
                 to,
                 new ChainMessage.Promised(
-                        prepare.ballot(), member.leaving, member.accepted(), state.edition, whole));
+                        prepare.ballot(),
+                        member.leaving,
+                        member.accepted(),
+                        state.edition(),
+                        whole));
     }
 
     /**
@@ -281,7 +286,8 @@
 
     /** Whether a member takes part in the bid without being in the newest roster that was found. */
     private boolean isOnlyCandidate(String m) {
-        return bid.votes.containsKey(member.me) && !newest().state.get().roster.contains(m);
+        return bid.votes.containsKey(member.me)
+                && !newest().state.get().roster().members().contains(m);
     }
 
     /**
@@ -306,7 +312,7 @@
             return;
         }
         var newest = newest();
-        var roster = newest.state.get().roster;
+        var roster = newest.state.get().roster().members();
         ask(roster);
         if (!roster.contains(member.me)) {
             rest();
@@ -338,7 +344,7 @@
     private void form(Vote newest) {
         var state = newest.state.get();
         member.view = bid.ballot;
-        member.chain = order(state.roster);
+        member.chain = order(state.roster().members());
         var learners = new TreeMap<>(bid.learners);
         learners.keySet().retainAll(member.chain);
         member.learners = learners;
--- a/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
+++ b/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
@@ -12,8 +12,8 @@
     private RouteTable table = RouteTable.EMPTY;
 
     public RouteTable of(ClusterState state) {
-        if (table.revision != state.revision) {
-            table = RoutingLanguage.compile(state.routingText);
+        if (table.revision != state.configuration().revision()) {
+            table = RoutingLanguage.compile(state.configuration().routingText());
         }
         return table;
     }
--- a/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
+++ b/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
@@ -32,9 +32,10 @@
         homes.forEach(
                 (edgeIp, link) -> {
                     var sent = sentRevision.getOrDefault(edgeIp, NEVER_SENT);
-                    link.send(sent == state.revision ? withoutText : whole);
+                    link.send(sent == state.configuration().revision() ? withoutText : whole);
                 });
-        homes.edgeIps().forEach(edgeIp -> sentRevision.put(edgeIp, state.revision));
+        homes.edgeIps()
+                .forEach(edgeIp -> sentRevision.put(edgeIp, state.configuration().revision()));
     }
 
     /**
@@ -47,7 +48,7 @@
         }
         var state = chain.committed();
         link.send(configuration(state, true));
-        sentRevision.put(edgeIp, state.revision);
+        sentRevision.put(edgeIp, state.configuration().revision());
     }
 
     public boolean sentTo(String edgeIp) {
@@ -61,12 +62,12 @@
 
     private static byte[] configuration(ClusterState state, boolean withRoutingText) {
         return new RecordWriter(RecordType.CONFIGURATION)
-                .i64(state.edition)
-                .i64(state.revision)
-                .text(withRoutingText ? state.routingText : "")
-                .texts(state.evacuated)
+                .i64(state.edition())
+                .i64(state.configuration().revision())
+                .text(withRoutingText ? state.configuration().routingText() : "")
+                .texts(state.evacuations().zones())
                 .list(
-                        state.scales.entrySet(),
+                        state.scaling().targets().entrySet(),
                         (out, entry) ->
                                 out.text(entry.getKey())
                                         .i32(entry.getValue().desired())
--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
@@ -59,7 +59,7 @@
                 .i64(stamp)
                 .i64(now - startUs + (memory.restored() ? RESTORED_AGE_US : 0))
                 .i64(leave.begun() ? GracefulShutdown.FAR_TOO_OLD_US : chain.staleUs(now))
-                .i64(chain.committed().edition)
+                .i64(chain.committed().edition())
                 .i32(registry.edgeDigest())
                 .i32(memory.mostEdges())
                 .i32(registry.members(now).size())
--- a/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
@@ -14,13 +14,16 @@
 import martenloom.core.chain.ChainMember;
 import martenloom.core.peer.CorePeerLinks;
 import martenloom.core.peer.PeerRequests;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.CommandType;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * Hands orders to the head of the chain, here or at another core daemon, and their answers back.
- * Every caller is answered once; one whose order went to another head is told 503 when no answer
- * came in time, and does not know then whether the order was carried out. Runs on the reactor
- * thread.
+ * Every caller is answered once; one whose order went to another head is told that it is
+ * unavailable when no answer came in time, and does not know then whether the order was carried
+ * out. Runs on the reactor thread.
  */
 public final class CommandForwarder {
     private static final long ANSWER_US = 2_500_000;
@@ -31,7 +34,7 @@
     private final CorePeerLinks peers;
     private final PeerRequests peerRequests;
     private final Runnable carryOut;
-    private final Map<Long, BiConsumer<Integer, String>> localRequests = new HashMap<>();
+    private final Map<Long, BiConsumer<ResultCode, String>> localRequests = new HashMap<>();
     private long lastLocal;
 
     /**
@@ -53,7 +56,7 @@
     }
 
     /** Puts an order to the chain of this daemon. */
-    public void submitLocally(ClusterState.Change order, BiConsumer<Integer, String> reply) {
+    public void submitLocally(StampedCommand order, BiConsumer<ResultCode, String> reply) {
         var id = ++lastLocal;
         localRequests.put(id, reply);
         chain.onAsk(Clocks.nowUs(), id, order);
@@ -61,18 +64,23 @@
     }
 
     /** Hands an order to the head, wherever it is. */
-    public void submit(ClusterState.Change order, BiConsumer<Integer, String> reply) {
+    public void submit(StampedCommand order, BiConsumer<ResultCode, String> reply) {
         if (chain.heading()) {
             submitLocally(order, reply);
             return;
         }
         var link = peers.headLink();
         if (link.isEmpty() || !inTouch()) {
-            reply.accept(503, "no head is known at " + settings.ip);
+            reply.accept(ResultCode.UNAVAILABLE, "no head is known at " + settings.ip);
             return;
         }
         var head = link.get();
-        var id = peerRequests.send(head, RecordType.ORDER_REQUEST, order::write, reply);
+        var id =
+                peerRequests.send(
+                        head,
+                        RecordType.ORDER_REQUEST,
+                        out -> CommandCodec.write(out, order),
+                        reply);
         Clocks.after(
                 loop,
                 ANSWER_US,
@@ -83,29 +91,28 @@
     public void onOrder(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         submitLocally(
-                ClusterState.Change.read(in),
-                (status, text) -> PeerRequests.answer(link, id, status, text));
+                CommandCodec.read(in), (code, text) -> PeerRequests.answer(link, id, code, text));
     }
 
     /** An order of an edge, which may only give those of the runner of jobs. */
     public void onEdgeOrder(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        var act = ClusterState.Act.valueOf(in.text());
+        var type = CommandType.ofWireName(in.text());
         var subject = in.text();
         var fence = in.i64();
         var version = in.i64();
-        var order = new ClusterState.Change(act, fence, subject, in.text()).versioned(version);
-        if (!act.ofRunner()) {
-            PeerRequests.answer(link, id, 400, "not for an edge");
+        var order = CommandCodec.ofEdge(type, subject, fence, version, in.text());
+        if (!type.isAllowedFromEdge()) {
+            PeerRequests.answer(link, id, ResultCode.INVALID, "not for an edge");
             return;
         }
-        submit(order, (status, text) -> PeerRequests.answer(link, id, status, text));
+        submit(order, (code, text) -> PeerRequests.answer(link, id, code, text));
     }
 
     /** The chain's answer to an order that was put to it here. */
     public void onDecided(ChainMember.Answer answer) {
         Optional.ofNullable(localRequests.remove(answer.request()))
-                .ifPresent(reply -> reply.accept(answer.status(), answer.text()));
+                .ifPresent(reply -> reply.accept(answer.code(), answer.text()));
     }
 
     /** Whether this daemon knew of a majority that held together a moment ago. */
--- a/core/src/main/java/martenloom/core/forwarding/CommandSubmitter.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandSubmitter.java
@@ -1,7 +1,8 @@
 package martenloom.core.forwarding;
 
 import java.util.function.BiConsumer;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /** Submits a command to the replicated state, wherever the head of the chain is. */
 @FunctionalInterface
@@ -9,8 +10,7 @@
     /**
      * Submits a command.
      *
-     * @param reply is called once, on the reactor thread, with the status and the text of the
-     *     result
+     * @param reply is called once, on the reactor thread, with the code and the text of the result
      */
-    void submit(ClusterState.Change command, BiConsumer<Integer, String> reply);
+    void submit(StampedCommand command, BiConsumer<ResultCode, String> reply);
 }
--- a/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
+++ b/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
@@ -2,7 +2,8 @@
 
 import martenloom.core.chain.ChainMember;
 import martenloom.core.forwarding.CommandForwarder;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.StampedCommand;
 
 /**
  * Keeps the clock of the jobs in the committed state, so that a new head goes on from there: the
@@ -21,12 +22,10 @@
     }
 
     public void tick(long now) {
-        if (chain.heading()
-                && chain.committed().jobTable.live() > 0
-                && now - writtenUs > WRITE_US) {
+        if (chain.heading() && chain.committed().jobs().live() > 0 && now - writtenUs > WRITE_US) {
             writtenUs = now;
-            var order = new ClusterState.Change(ClusterState.Act.JOB_CLOCK, 0, "", "");
-            orders.submitLocally(order, (status, text) -> {});
+            var order = StampedCommand.of(new Command.AdvanceJobClock());
+            orders.submitLocally(order, (code, text) -> {});
         }
     }
 }
--- a/core/src/main/java/martenloom/core/jobs/RegionJobListing.java
+++ b/core/src/main/java/martenloom/core/jobs/RegionJobListing.java
@@ -30,11 +30,11 @@
     /** The record of the live jobs of a region, when this is the holder of that duty. */
     public Optional<byte[]> recordFor(String holder, String region, long now) {
         var state = chain.committed();
-        var duty = Optional.ofNullable(state.duties.get("jobs/" + region));
-        if (duty.filter(current -> current.holder.equals(holder)).isEmpty()) {
+        var duty = state.leases().find("jobs/" + region);
+        if (duty.filter(current -> current.holder().equals(holder)).isEmpty()) {
             return Optional.empty();
         }
-        var clockUs = Math.max(state.jobTable.clockUs, chain.jobClockUs(now));
+        var clockUs = Math.max(state.jobs().clockUs(), chain.jobClockUs(now));
         var table = routes.of(state);
         return Optional.of(
                 new RecordWriter(RecordType.JOB_LIST)
@@ -43,7 +43,7 @@
     }
 
     private static List<Job> live(ClusterState state, String region) {
-        return state.jobTable.jobs.values().stream()
+        return state.jobs().byId().values().stream()
                 .filter(job -> job.state.live() && job.region.equals(region))
                 .toList();
     }
--- a/core/src/main/java/martenloom/core/lease/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -2,7 +2,6 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import java.util.Optional;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
@@ -50,9 +49,7 @@
     }
 
     private boolean holds(String duty, String holder) {
-        return Optional.ofNullable(chain.committed().duties.get(duty))
-                .filter(current -> current.holder.equals(holder))
-                .isPresent();
+        return chain.committed().leases().isHeldBy(duty, holder);
     }
 
     private void want(String duty, String holder, long stamp) {
@@ -85,7 +82,7 @@
         var holder = in.text();
         var duty = in.text();
         var ofHead = peers.headLink().filter(head -> head == from).isPresent();
-        if (ofHead && !chain.committed().overtaken(duty, in.i64())) {
+        if (ofHead && !chain.committed().leases().isSuperseded(duty, in.i64())) {
             homes.link(ipOf(holder)).ifPresent(link -> link.send(record));
         }
     }
@@ -97,7 +94,7 @@
     public void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
         var duty = in.text() + "/" + in.text();
         var reporter = in.text();
-        if (chain.committed().overtaken(duty, in.i64())) {
+        if (chain.committed().leases().isSuperseded(duty, in.i64())) {
             RingLog.note(
                     "a report of " + reporter + " under an older grant of " + duty + " is dropped");
             return;
--- a/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -4,7 +4,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -13,7 +12,9 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.forwarding.CommandSubmitter;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The duty leases, kept by the head: a grant is written through the chain, a renewal needs a
@@ -41,11 +42,11 @@
 
     /** A candidate wants a duty; the record that grants it is given to the reply. */
     public void want(String key, String holder, long stamp, Consumer<byte[]> reply) {
-        var d = Optional.ofNullable(chain.committed().duties.get(key));
+        var d = chain.committed().leases().find(key);
         var held = wants.get(key);
         if (held != null
                 && d.isPresent()
-                && held.holder.equals(d.get().holder)
+                && held.holder.equals(d.get().holder())
                 && !holder.equals(held.holder)) {
             return;
         }
@@ -63,12 +64,12 @@
                 // Its outcome decides who is renewed: until then the committed holder may be out.
                 continue;
             }
-            var d = Optional.ofNullable(chain.committed().duties.get(w.key));
-            if (d.isPresent() && d.get().holder.equals(w.holder)) {
+            var d = chain.committed().leases().find(w.key);
+            if (d.isPresent() && d.get().holder().equals(w.holder)) {
                 if (chain.provenUs() > w.atUs) {
                     renewed.put(w.key, now);
                     wants.remove(w.key);
-                    grant(w, d.get().grant);
+                    grant(w, d.get().fencingToken());
                 }
             } else if (d.isEmpty()
                     || now - Math.max(renewed.getOrDefault(w.key, 0L), chain.headingSinceUs())
@@ -83,17 +84,14 @@
 
     private void write(Want w) {
         if (writing.add(w.key)) {
-            var newest =
-                    Optional.ofNullable(chain.committed().duties.get(w.key))
-                            .map(d -> d.grant)
-                            .orElse(0L);
+            var newest = chain.committed().leases().newestToken(w.key);
             ask.submit(
-                    new ClusterState.Change(ClusterState.Act.DUTY, newest, w.key, w.holder),
-                    (s, t) -> {
+                    StampedCommand.of(new GrantLease(w.key, newest, w.holder)),
+                    (code, text) -> {
                         writing.remove(w.key);
-                        if (s == 200) {
+                        if (code == ResultCode.OK) {
                             renewed.put(w.key, clockUs.getAsLong());
-                            grant(w, Long.parseLong(t));
+                            grant(w, Long.parseLong(text));
                         }
                     });
         }
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -11,7 +11,10 @@
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.forwarding.CommandSubmitter;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The way of a core daemon out of the chain at SIGTERM: callers and edges are sent elsewhere, the
@@ -94,9 +97,9 @@
             return;
         }
         if (releasedUs == 0) {
-            var urgency = now < urgentUs ? ClusterState.LEAVE_SOON : ClusterState.LEAVE_NOW;
-            var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, settings.ip, "");
-            orders.submit(order, (status, text) -> taken |= status == 200);
+            var urgency = now < urgentUs ? Urgency.CAN_WAIT : Urgency.IMMEDIATE;
+            var order = StampedCommand.of(new MarkDeparting(settings.ip, urgency));
+            orders.submit(order, (code, text) -> taken |= code == ResultCode.OK);
         }
         Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
     }
--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -93,8 +93,8 @@
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
     public void forgetGone(long now) {
-        var needed = new TreeSet<>(chain.memberState().state.roster);
-        needed.addAll(chain.committed().roster);
+        var needed = new TreeSet<>(chain.memberState().state.roster().members());
+        needed.addAll(chain.committed().roster().members());
         needed.addAll(seedIps(settings));
         for (var ip : List.copyOf(dials.keySet())) {
             if (needed.contains(ip) || link(ip).isPresent()) {
@@ -127,7 +127,7 @@
 
     /** The roster and who is reached beside it: where an edge or a new core daemon may turn to. */
     public Collection<String> reachable() {
-        var ips = new TreeSet<>(chain.committed().roster);
+        var ips = new TreeSet<>(chain.committed().roster().members());
         dials.forEach((ip, dial) -> dial.link().ifPresent(link -> ips.add(ip)));
         ips.add(settings.ip);
         return ips;
@@ -196,7 +196,7 @@
      * region of a member is not known, empty when all lie in allowed regions.
      */
     public String regionOutside(Set<String> allowed) {
-        for (var member : chain.committed().roster) {
+        for (var member : chain.committed().roster().members()) {
             var region =
                     member.equals(settings.ip) ? settings.region : regions.getOrDefault(member, "");
             if (!allowed.contains(region)) {
--- a/core/src/main/java/martenloom/core/peer/PeerRequests.java
+++ b/core/src/main/java/martenloom/core/peer/PeerRequests.java
@@ -9,6 +9,7 @@
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.log.RingLog;
+import martenloom.core.state.ResultCode;
 
 /**
  * The requests that this daemon has sent to other core daemons, and the answers that go over the
@@ -24,8 +25,10 @@
             PeerLinks.Link link,
             int recordType,
             Consumer<RecordWriter> body,
-            BiConsumer<Integer, String> reply) {
-        var id = pending.open(link, reply);
+            BiConsumer<ResultCode, String> reply) {
+        var id =
+                pending.open(
+                        link, (number, text) -> reply.accept(ResultCode.ofNumber(number), text));
         var out = new RecordWriter(recordType);
         id.write(out);
         body.accept(out);
@@ -55,9 +58,9 @@
 
     /** Answers a request on the link on which it came, under the id that its sender gave it. */
     public static void answer(
-            PeerLinks.Link link, PendingRequests.RequestId id, int status, String text) {
+            PeerLinks.Link link, PendingRequests.RequestId id, ResultCode code, String text) {
         var out = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(out);
-        link.send(out.i32(status).text(text).bytes());
+        link.send(out.i32(code.number()).text(text).bytes());
     }
 }
--- a/core/src/main/java/martenloom/core/placement/PlacementService.java
+++ b/core/src/main/java/martenloom/core/placement/PlacementService.java
@@ -1,14 +1,16 @@
 package martenloom.core.placement;
 
+import java.util.Optional;
 import java.util.Set;
 import java.util.SortedSet;
-import java.util.TreeMap;
 import java.util.function.Function;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.Placing;
+import martenloom.core.state.ReplicaTarget;
 import martenloom.routing.placement.Placement;
 import martenloom.routing.route.RouteTable;
 
@@ -37,7 +39,7 @@
     /** What is registered and would run now, those that rest by order among them. */
     public Placement now() {
         var p = new Placement();
-        var ev = chain.committed().evacuated;
+        var ev = chain.committed().evacuations().zones();
         for (var r : registry.replicas()) {
             if (!r.gone && !r.draining && !r.silent && !ev.contains(r.zone)) {
                 p.put(r.service, settings.regionOf(r.zone), r.id);
@@ -49,7 +51,7 @@
     public SortedSet<Placement.Finding> exposure() {
         var s = chain.committed();
         var t = table.apply(s);
-        return ClusterState.rested(now(), t, s.scales).findings(t);
+        return s.scaling().serving(now(), t).findings(t);
     }
 
     private Set<Placement.Finding> exposed = Set.of();
@@ -61,7 +63,7 @@
     public void watch(long now) {
         if (!chain.heading()
                 || now - chain.headingSinceUs() < 4_000_000
-                || chain.committed().revision == 0) {
+                || chain.committed().configuration().revision() == 0) {
             return;
         }
         var f = exposure();
@@ -78,16 +80,11 @@
     public String would(String key, String order) {
         var s = chain.committed();
         var t = table.apply(s);
-        var to = new TreeMap<>(s.scales);
-        if (order.equals("unload")) {
-            to.put(key, new ClusterState.Scale(0, true, 0, Set.of()));
-        } else {
-            to.remove(key);
-        }
-        var p = now();
-        var bad =
-                Placement.added(
-                        ClusterState.rested(p, t, s.scales), ClusterState.rested(p, t, to), t);
+        var target =
+                Placing.ofWireName(order) == Placing.UNLOAD
+                        ? Optional.of(ReplicaTarget.UNLOADED)
+                        : Optional.<ReplicaTarget>empty();
+        var bad = s.scaling().newlyExposed(s.scaling().withTarget(key, target), now(), t);
         return bad.isEmpty()
                 ? "ok: nothing is stranded\n"
                 : String.join("\n", bad.stream().map(Placement.Finding::text).toList()) + "\n";
--- a/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
+++ b/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
@@ -13,6 +13,7 @@
 import martenloom.core.edge.EdgeLinks;
 import martenloom.core.peer.CorePeerLinks;
 import martenloom.core.peer.PeerRequests;
+import martenloom.core.state.ResultCode;
 
 /**
  * Carries changes of the registry to the other core daemons and to the edges of this home. News
@@ -71,7 +72,7 @@
      * so an edge that does not hear of it has lost its home and is about to leave it.
      */
     public void tellMajority(String replica, Consumer<Boolean> confirmed) {
-        var roster = chain.committed().roster;
+        var roster = chain.committed().roster().members();
         var receipt = new QuorumAcknowledgement(roster, confirmed);
         var rows = registry.rowFlood(replica, Clocks.nowUs());
         var sent = new ArrayList<PendingRequests.RequestId>();
@@ -97,8 +98,8 @@
                 link,
                 RecordType.CONFIRMED_REGISTRY_UPDATE,
                 out -> out.blob(rows),
-                (status, text) -> {
-                    if (status == 200) {
+                (code, text) -> {
+                    if (code == ResultCode.OK) {
                         received.run();
                     }
                 });
@@ -120,7 +121,7 @@
     public void onConfirmedFlood(PeerLinks.Link link, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         onFlood(link, new RecordReader(in.blob(), true));
-        PeerRequests.answer(link, id, 200, "");
+        PeerRequests.answer(link, id, ResultCode.OK, "");
     }
 
     /** Sends the digests of our rows to one peer, which answers with what we lack. */
--- /dev/null
+++ b/core/src/main/java/martenloom/core/state/JobClientRules.java
@@ -0,0 +1,117 @@
+package martenloom.core.state;
+
+import java.nio.charset.StandardCharsets;
+import martenloom.common.jobs.Job;
+import martenloom.core.state.Command.CancelJob;
+import martenloom.core.state.Command.ConfirmJobResult;
+import martenloom.core.state.Command.GetJob;
+import martenloom.core.state.Command.OneJobCommand;
+
+/** What callers of the control API may do with jobs: the rules of one moment of a table. */
+final class JobClientRules {
+    private final JobTable table;
+    private final long atUs;
+
+    /**
+     * @param atUs the clock of the jobs as the head has stamped it
+     */
+    JobClientRules(JobTable table, long atUs) {
+        this.table = table;
+        this.atUs = atUs;
+    }
+
+    /** Adds a job, whose due time is relative; the same job again is acknowledged again. */
+    CommandResult<JobTable> submit(Job job) {
+        var known = table.find(job.id);
+        if (known.isPresent()) {
+            return known.get().digest.equals(job.digest)
+                    ? CommandResult.unchanged(known.get().json(table.clockAt(atUs)))
+                    : conflict("job '" + job.id + "' is known with other content");
+        }
+        var bytes = job.bytes();
+        if (bytes > JobTable.MAX_JOB_BYTES) {
+            return CommandResult.refused(
+                    ResultCode.TOO_LARGE,
+                    "Body: the job has "
+                            + bytes
+                            + " bytes, over the limit of "
+                            + JobTable.MAX_JOB_BYTES);
+        }
+        if (table.byId().size() >= JobTable.MAX_JOBS) {
+            return CommandResult.refused(
+                    ResultCode.LIMIT_REACHED,
+                    "the core keeps "
+                            + JobTable.MAX_JOBS
+                            + " jobs, its limit; confirm results or come back later");
+        }
+        var tableBytes = table.bytes();
+        if (tableBytes + bytes > JobTable.MAX_TABLE_BYTES) {
+            return CommandResult.refused(
+                    ResultCode.LIMIT_REACHED,
+                    "the core keeps "
+                            + tableBytes
+                            + " bytes of jobs, near its limit of "
+                            + JobTable.MAX_TABLE_BYTES);
+        }
+        var nowUs = table.clockAt(atUs);
+        job.submittedUs = nowUs;
+        job.dueUs = nowUs + job.dueUs;
+        return table.with(job, atUs, job.json(nowUs));
+    }
+
+    /** Carries out a command about a job that is known. */
+    CommandResult<JobTable> decide(OneJobCommand command, Job job) {
+        if (command instanceof GetJob) {
+            return CommandResult.unchanged(job.json(table.clockAt(atUs)));
+        }
+        if (command instanceof ConfirmJobResult) {
+            return confirm(job);
+        }
+        return command instanceof CancelJob ? cancel(job) : result(job);
+    }
+
+    private CommandResult<JobTable> result(Job job) {
+        if (job.state != Job.State.DONE) {
+            return conflict(standing(job) + (job.why.isEmpty() ? "" : ": " + job.why));
+        }
+        return job.confirmed
+                ? CommandResult.refused(
+                        ResultCode.RELEASED,
+                        "the result of job '" + job.id + "' was confirmed and let go")
+                : CommandResult.unchanged(new String(job.result, StandardCharsets.UTF_8));
+    }
+
+    private CommandResult<JobTable> confirm(Job job) {
+        if (job.state != Job.State.DONE) {
+            return conflict(standing(job));
+        }
+        if (job.confirmed) {
+            return CommandResult.unchanged("");
+        }
+        var copy = job.copy();
+        copy.confirmed = true;
+        copy.result = new byte[0];
+        copy.body = new byte[0];
+        return table.with(copy, atUs, "");
+    }
+
+    /** Cancels a job that waits, or one that runs and may be repeated. */
+    private CommandResult<JobTable> cancel(Job job) {
+        if (job.state == Job.State.CANCELLED) {
+            return CommandResult.unchanged("");
+        }
+        var live = job.state.live();
+        if (!live || job.state == Job.State.RUNNING && !job.repeatable) {
+            return conflict(standing(job) + (live ? " and may not be taken back" : ""));
+        }
+        return table.with(table.ended(job, Job.State.CANCELLED, "cancelled", atUs), atUs, "");
+    }
+
+    private static String standing(Job job) {
+        return "job '" + job.id + "' is " + job.state.word();
+    }
+
+    private static CommandResult<JobTable> conflict(String reason) {
+        return CommandResult.refused(ResultCode.CONFLICT, reason);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/martenloom/core/state/JobReports.java
@@ -0,0 +1,38 @@
+package martenloom.core.state;
+
+/** The jobs of a table as text: in JSON for the control API, in lines for the shell. */
+final class JobReports {
+    private static final long MS_US = 1_000;
+
+    private JobReports() {}
+
+    static String json(JobTable table, long atUs) {
+        var nowUs = table.clockAt(atUs);
+        var text = new StringBuilder("{\"Jobs\":[");
+        var separator = "";
+        for (var job : table.byId().values()) {
+            text.append(separator).append(job.json(nowUs));
+            separator = ",";
+        }
+        return text.append("]}").toString();
+    }
+
+    static String text(JobTable table, long atUs) {
+        var nowUs = table.clockAt(atUs);
+        var text = new StringBuilder();
+        for (var job : table.byId().values()) {
+            text.append(
+                    String.format(
+                            "%s %s %s age %d ms slack %d ms runs %d fence %d %s\n",
+                            job.id,
+                            job.state.word(),
+                            job.region,
+                            (nowUs - job.submittedUs) / MS_US,
+                            (job.dueUs - nowUs) / MS_US,
+                            job.runs,
+                            job.fence,
+                            job.why));
+        }
+        return text.toString();
+    }
+}
--- /dev/null
+++ b/core/src/main/java/martenloom/core/state/JobRunnerRules.java
@@ -0,0 +1,153 @@
+package martenloom.core.state;
+
+import java.util.Base64;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.jobs.Job;
+import martenloom.core.state.Command.AppendJobOutput;
+import martenloom.core.state.Command.FinishJob;
+import martenloom.core.state.Command.JobCompletion;
+import martenloom.core.state.Command.JobFailure;
+import martenloom.core.state.Command.JobOutput;
+import martenloom.core.state.Command.JobRunnerCommand;
+import martenloom.core.state.Command.ReturnJob;
+import martenloom.core.state.Command.RunFailure;
+import martenloom.core.state.Command.StartJob;
+
+/**
+ * What the edge may do that runs the jobs of a region: the rules of one moment of a table. A report
+ * under another lease than the one in force, or about another run than the current one, is refused:
+ * it comes from a former holder, or is a copy that comes late.
+ */
+final class JobRunnerRules {
+    /** A job that failed or may have run is not run more often than this. */
+    private static final int MAX_RUNS = 8;
+
+    /** So large a job may grow by its output. */
+    private static final int MAX_JOB_AND_OUTPUT_BYTES = 2 * JobTable.MAX_JOB_BYTES;
+
+    private final JobTable table;
+    private final long atUs;
+
+    /**
+     * @param atUs the clock of the jobs as the head has stamped it
+     */
+    JobRunnerRules(JobTable table, long atUs) {
+        this.table = table;
+        this.atUs = atUs;
+    }
+
+    /** Carries out a report about a job that is known. */
+    CommandResult<JobTable> decide(JobRunnerCommand report, Job job, LeaseTable leases) {
+        if (!leases.isInForce(job.duty(), report.fencingToken())) {
+            return conflict("fence " + report.fencingToken() + " is not the grant in force");
+        }
+        if (report instanceof StartJob start) {
+            return start(start, job);
+        }
+        if (job.state != Job.State.RUNNING
+                || job.fence != report.fencingToken()
+                || job.runs != report.run()) {
+            return conflict(standing(job) + " under fence " + job.fence + ", run " + job.runs);
+        }
+        if (report instanceof AppendJobOutput append) {
+            return append(append.output(), job);
+        } else if (report instanceof FinishJob finish) {
+            return finish(finish.completion(), job);
+        }
+        return giveBack(((ReturnJob) report).failure(), job);
+    }
+
+    /**
+     * Starts the run after the one that the holder knew of: a copy that comes after that run was
+     * given back starts nothing.
+     */
+    private CommandResult<JobTable> start(StartJob start, Job job) {
+        if (job.runs != start.run()) {
+            return conflict(
+                    "job '" + job.id + "' has had " + job.runs + " runs, not " + start.run());
+        }
+        if (job.state == Job.State.RUNNING && job.fence < start.fencingToken()) {
+            if (!job.repeatable) {
+                var reason = "its runner was lost and it may have run";
+                return end(job, Job.State.UNCERTAIN, reason);
+            }
+        } else if (job.state != Job.State.WAITING) {
+            return conflict(standing(job));
+        }
+        var running = job.copy();
+        running.state = Job.State.RUNNING;
+        running.fence = start.fencingToken();
+        running.runs++;
+        running.why = "running at " + start.replica();
+        var encoded = new RecordWriter();
+        running.write(encoded);
+        return table.with(running, atUs, Base64.getEncoder().encodeToString(encoded.bytes()));
+    }
+
+    /** Saves a part of the output that follows what is saved; the last part again is no error. */
+    private CommandResult<JobTable> append(JobOutput output, Job job) {
+        var saved = job.kept.length;
+        var isCopy =
+                output.offset() + output.content().length == saved
+                        && job.lastEvent.equals(output.lastEventId());
+        if (isCopy) {
+            return CommandResult.unchanged("");
+        }
+        if (output.offset() != saved) {
+            return conflict(savedBytes(job) + ", not " + output.offset());
+        }
+        var longer = job.copy();
+        longer.lastEvent = output.lastEventId();
+        longer.kept = Job.join(job.kept, output.content());
+        return withOutput(longer, job);
+    }
+
+    private CommandResult<JobTable> finish(JobCompletion completion, Job job) {
+        if (completion.offset() != job.kept.length) {
+            return conflict(savedBytes(job));
+        }
+        var done = table.ended(job, Job.State.DONE, "", atUs);
+        done.status = completion.status();
+        done.result = Job.join(job.kept, completion.content());
+        done.kept = new byte[0];
+        done.body = new byte[0];
+        return withOutput(done, job);
+    }
+
+    /** The job with its longer output, or the job before it failed if that is too long. */
+    private CommandResult<JobTable> withOutput(Job longer, Job before) {
+        return longer.bytes() > MAX_JOB_AND_OUTPUT_BYTES
+                ? end(before, Job.State.FAILED, "the result is over the limit")
+                : table.with(longer, atUs, "");
+    }
+
+    private CommandResult<JobTable> giveBack(JobFailure failure, Job job) {
+        if (failure.kind() == RunFailure.MAY_HAVE_RUN && !job.repeatable) {
+            return end(job, Job.State.UNCERTAIN, failure.reason());
+        }
+        var failed = failure.kind() == RunFailure.RAN_AND_FAILED && !job.repeatable;
+        if (failed || failure.kind() != RunFailure.NOT_RUN && job.runs >= MAX_RUNS) {
+            return end(job, Job.State.FAILED, failure.reason());
+        }
+        var waiting = job.copy();
+        waiting.state = Job.State.WAITING;
+        waiting.why = failure.reason();
+        return table.with(waiting, atUs, "");
+    }
+
+    private CommandResult<JobTable> end(Job job, Job.State state, String reason) {
+        return table.with(table.ended(job, state, reason, atUs), atUs, "");
+    }
+
+    private static String standing(Job job) {
+        return "job '" + job.id + "' is " + job.state.word();
+    }
+
+    private static String savedBytes(Job job) {
+        return "job '" + job.id + "' has " + job.kept.length + " bytes kept";
+    }
+
+    private static CommandResult<JobTable> conflict(String reason) {
+        return CommandResult.refused(ResultCode.CONFLICT, reason);
+    }
+}
--- a/core/src/main/java/martenloom/core/state/JobTable.java
+++ b/core/src/main/java/martenloom/core/state/JobTable.java
@@ -1,358 +1,149 @@
 package martenloom.core.state;
 
-import java.nio.charset.StandardCharsets;
-import java.util.Base64;
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.core.state.Command.AdvanceJobClock;
+import martenloom.core.state.Command.JobCommand;
+import martenloom.core.state.Command.JobRunnerCommand;
+import martenloom.core.state.Command.ListJobs;
+import martenloom.core.state.Command.OneJobCommand;
+import martenloom.core.state.Command.SubmitJob;
 
 /**
- * The deferred jobs as part of the core's state: immutable, changed only by decide(), which is the
- * one place that moves a job from state to state. Whoever runs jobs shows the grant of its duty as
- * a fence; a former holder's words are refused. Times are on the book's own clock, which only goes
- * forward and is carried in the state.
+ * The deferred jobs. Immutable; {@link #decide} is the one place that moves a job from state to
+ * state, with {@link JobClientRules} for callers and {@link JobRunnerRules} for the edge that runs
+ * the jobs of a region.
+ *
+ * <p>A job waits, runs, and waits again after a run that may be repeated, until it is done, failed,
+ * cancelled, expired, or uncertain, which is when it may have run and must not run again. Times are
+ * on the table's own clock, which only goes forward and is part of the state.
+ *
+ * <p>Invariant: a run is ended only by the holder of the lease under which it was started.
+ *
+ * @param clockUs the clock of the jobs, in microseconds
+ * @param byId the jobs in the order of their ids
  */
-public final class JobTable {
-    public static final int MOST_JOBS = 200;
-    public static final int MOST_BODY = 256 << 10;
-    public static final int MOST_BYTES = 4 << 20;
-    public static final long RESULT_AGE_US = 3_600_000_000L;
-    public static final long LATE_US = 10_000_000;
-    public static final int MOST_RUNS = 8;
-    public static final JobTable EMPTY = new JobTable(0, Map.of());
+public record JobTable(long clockUs, Map<String, Job> byId) {
+    public static final int MAX_JOBS = 200;
+    public static final int MAX_JOB_BYTES = 256 << 10;
+    public static final int MAX_TABLE_BYTES = 4 << 20;
 
-    public final long clockUs;
-    public final Map<String, Job> jobs;
+    /** So long after its end a job is kept. */
+    public static final long RETENTION_US = 3_600_000_000L;
 
-    private JobTable(long c, Map<String, Job> j) {
-        clockUs = c;
-        jobs = j;
-    }
+    /** So long after its due time a run may still bring a result. */
+    public static final long OVERTIME_US = 10_000_000;
 
-    /** What a call comes to. */
-    public record Said(int status, String text, Optional<JobTable> next) {}
+    public static final JobTable EMPTY = new JobTable(0, Map.of());
 
-    public void write(RecordWriter o) {
-        o.i64(clockUs).list(jobs.values(), (w, j) -> j.write(w));
+    void write(RecordWriter out) {
+        out.i64(clockUs).list(byId.values(), (writer, job) -> job.write(writer));
     }
 
-    public static JobTable read(RecordReader in) {
-        var c = in.i64();
-        var m = new TreeMap<String, Job>();
+    static JobTable read(RecordReader in) {
+        var clockUs = in.i64();
+        var jobs = new TreeMap<String, Job>();
         in.list(
-                x -> {
-                    var j = Job.read(x);
-                    return m.put(j.id, j);
+                reader -> {
+                    var job = Job.read(reader);
+                    return jobs.put(job.id, job);
                 });
-        return new JobTable(c, m);
+        return new JobTable(clockUs, jobs);
     }
 
+    /** How many jobs wait or run. */
     public long live() {
-        return jobs.values().stream().filter(j -> j.state.live()).count();
-    }
-
-    public long bytes() {
-        return jobs.values().stream().mapToLong(Job::bytes).sum();
+        return byId.values().stream().filter(job -> job.state.live()).count();
     }
 
-    private static Said no(int status, String why) {
-        return new Said(status, why, Optional.empty());
+    /** The size of all jobs. */
+    long bytes() {
+        return byId.values().stream().mapToLong(Job::bytes).sum();
     }
 
-    private Said put(long at, Job j, String text) {
-        var m = new TreeMap<>(jobs);
-        m.put(j.id, j);
-        return new Said(200, text, Optional.of(new JobTable(Math.max(clockUs, at), m)));
+    Optional<Job> find(String id) {
+        return Optional.ofNullable(byId.get(id));
     }
 
-    public Said decide(ClusterState.Change c, Map<String, ClusterState.Duty> duties) {
-        if (c.act == ClusterState.Act.JOB_CLOCK) {
-            return tick(c.atUs);
+    /** Carries out a command that the head has stamped with the clock of the jobs. */
+    CommandResult<JobTable> decide(JobCommand command, long atUs, LeaseTable leases) {
+        if (command instanceof AdvanceJobClock) {
+            return CommandResult.changed(advancedTo(atUs), "");
         }
-        if (c.act == ClusterState.Act.JOB_LIST) {
-            return no(200, list(c.atUs));
+        if (command instanceof ListJobs) {
+            return CommandResult.unchanged(JobReports.json(this, atUs));
         }
-        if (c.act == ClusterState.Act.JOB_SUBMIT) {
-            return submit(c);
+        if (command instanceof SubmitJob submission) {
+            return new JobClientRules(this, atUs).submit(submission.job());
         }
-        var j = Optional.ofNullable(jobs.get(c.subject));
-        if (j.isEmpty()) {
-            return no(404, "job '" + c.subject + "' is not known");
-        }
-        return switch (c.act) {
-            case JOB_GET -> no(200, j.get().json(Math.max(clockUs, c.atUs)));
-            case JOB_RESULT -> result(j.get());
-            case JOB_CONFIRM -> confirm(c, j.get());
-            case JOB_CANCEL -> cancel(c, j.get());
-            default -> fenced(c, j.get(), duties);
-        };
+        return decideOne((OneJobCommand) command, atUs, leases);
     }
 
-    private Said submit(ClusterState.Change c) {
-        var j = Job.read(new RecordReader(Base64.getDecoder().decode(c.body), false));
-        var old = Optional.ofNullable(jobs.get(j.id));
-        if (old.isPresent()) {
-            return old.get().digest.equals(j.digest)
-                    ? no(200, old.get().json(Math.max(clockUs, c.atUs)))
-                    : no(409, "job '" + j.id + "' is known with other content");
-        }
-        if (j.bytes() > MOST_BODY) {
-            return no(
-                    413,
-                    "Body: the job has " + j.bytes() + " bytes, over the limit of " + MOST_BODY);
-        }
-        if (jobs.size() >= MOST_JOBS) {
-            return no(
-                    429,
-                    "the core keeps "
-                            + MOST_JOBS
-                            + " jobs, its limit; confirm results or come back later");
-        }
-        if (bytes() + j.bytes() > MOST_BYTES) {
-            return no(
-                    429,
-                    "the core keeps "
-                            + bytes()
-                            + " bytes of jobs, near its limit of "
-                            + MOST_BYTES);
+    private CommandResult<JobTable> decideOne(OneJobCommand command, long atUs, LeaseTable leases) {
+        var job = byId.get(command.jobId());
+        if (job == null) {
+            return CommandResult.refused(
+                    ResultCode.NOT_FOUND, "job '" + command.jobId() + "' is not known");
         }
-        var now = Math.max(clockUs, c.atUs);
-        j.submittedUs = now;
-        j.dueUs = now + j.dueUs;
-        return put(c.atUs, j, j.json(now));
+        return command instanceof JobRunnerCommand report
+                ? new JobRunnerRules(this, atUs).decide(report, job, leases)
+                : new JobClientRules(this, atUs).decide(command, job);
     }
 
-    private static Said result(Job j) {
-        if (j.state != Job.State.DONE) {
-            return no(
-                    409,
-                    "job '"
-                            + j.id
-                            + "' is "
-                            + j.state.word()
-                            + (j.why.isEmpty() ? "" : ": " + j.why));
-        }
-        return j.confirmed
-                ? no(410, "the result of job '" + j.id + "' was confirmed and let go")
-                : no(200, new String(j.result, StandardCharsets.UTF_8));
-    }
-
-    private Said confirm(ClusterState.Change c, Job j) {
-        if (j.state != Job.State.DONE) {
-            return no(409, "job '" + j.id + "' is " + j.state.word());
-        }
-        if (j.confirmed) {
-            return no(200, "");
-        }
-        var n = j.copy();
-        n.confirmed = true;
-        n.result = new byte[0];
-        n.body = new byte[0];
-        return put(c.atUs, n, "");
+    /** The clock at a stamp; it never goes back. */
+    long clockAt(long atUs) {
+        return Math.max(clockUs, atUs);
     }
 
-    private Said cancel(ClusterState.Change c, Job j) {
-        if (j.state == Job.State.CANCELLED) {
-            return no(200, "");
-        }
-        if (!j.state.live() || j.state == Job.State.RUNNING && !j.repeatable) {
-            return no(
-                    409,
-                    "job '"
-                            + j.id
-                            + "' is "
-                            + j.state.word()
-                            + (j.state.live() ? " and may not be taken back" : ""));
-        }
-        return put(c.atUs, ended(j, Job.State.CANCELLED, "cancelled", c.atUs), "");
+    /** The result that one job was added or has changed. */
+    CommandResult<JobTable> with(Job job, long atUs, String text) {
+        var jobs = new TreeMap<>(byId);
+        jobs.put(job.id, job);
+        return CommandResult.changed(new JobTable(clockAt(atUs), jobs), text);
     }
 
-    private Job ended(Job j, Job.State s, String why, long at) {
-        var n = j.copy();
-        n.state = s;
-        n.why = why;
-        n.endedUs = Math.max(clockUs, at);
-        if (s != Job.State.DONE) {
-            n.kept = new byte[0];
-            n.body = new byte[0];
-        }
-        return n;
-    }
-
-    // ---- what the holder of the duty says; base is its fence, version the number of the run
-
-    private Said fenced(ClusterState.Change c, Job j, Map<String, ClusterState.Duty> duties) {
-        var d = Optional.ofNullable(duties.get(j.duty()));
-        if (d.isEmpty() || d.get().grant != c.base) {
-            return no(409, "fence " + c.base + " is not the grant in force");
-        }
-        if (c.act == ClusterState.Act.JOB_START) {
-            return start(c, j);
-        }
-        if (j.state != Job.State.RUNNING || j.fence != c.base || j.runs != c.version) {
-            return no(
-                    409,
-                    "job '"
-                            + j.id
-                            + "' is "
-                            + j.state.word()
-                            + " under fence "
-                            + j.fence
-                            + ", run "
-                            + j.runs);
-        }
-        var in = new RecordReader(Base64.getDecoder().decode(c.body), false);
-        return switch (c.act) {
-            case JOB_KEEP -> {
-                var n = j.copy();
-                n.lastEvent = in.text();
-                var from = in.i32();
-                var more = in.blob();
-                if (from + more.length == j.kept.length && j.lastEvent.equals(n.lastEvent)) {
-                    yield no(200, "");
-                }
-                if (from != j.kept.length) {
-                    yield no(
-                            409,
-                            "job '" + j.id + "' has " + j.kept.length + " bytes kept, not " + from);
-                }
-                n.kept = Job.join(j.kept, more);
-                yield n.bytes() > 2 * MOST_BODY
-                        ? put(
-                                c.atUs,
-                                ended(j, Job.State.FAILED, "the result is over the limit", c.atUs),
-                                "")
-                        : put(c.atUs, n, "");
-            }
-            case JOB_DONE -> {
-                var n = ended(j, Job.State.DONE, "", c.atUs);
-                n.status = in.i32();
-                if (in.i32() != j.kept.length) {
-                    yield no(409, "job '" + j.id + "' has " + j.kept.length + " bytes kept");
-                }
-                n.result = Job.join(j.kept, in.blob());
-                n.kept = new byte[0];
-                n.body = new byte[0];
-                yield n.bytes() > 2 * MOST_BODY
-                        ? put(
-                                c.atUs,
-                                ended(j, Job.State.FAILED, "the result is over the limit", c.atUs),
-                                "")
-                        : put(c.atUs, n, "");
-            }
-            case JOB_BACK -> back(c, j, in.u8(), in.text());
-            default -> no(400, "no such word about a job");
-        };
-    }
-
-    /**
-     * Starts the run after the one that the holder knew of: a copy that comes after that run was
-     * taken back starts nothing.
-     */
-    private Said start(ClusterState.Change c, Job j) {
-        if (j.runs != c.version) {
-            return no(409, "job '" + j.id + "' has had " + j.runs + " runs, not " + c.version);
-        }
-        if (j.state == Job.State.RUNNING && j.fence < c.base) {
-            if (!j.repeatable) {
-                return put(
-                        c.atUs,
-                        ended(
-                                j,
-                                Job.State.UNCERTAIN,
-                                "its runner was lost and it may have run",
-                                c.atUs),
-                        "");
-            }
-        } else if (j.state != Job.State.WAITING) {
-            return no(409, "job '" + j.id + "' is " + j.state.word());
-        }
-        var n = j.copy();
-        n.state = Job.State.RUNNING;
-        n.fence = c.base;
-        n.runs++;
-        n.why = "running at " + c.body;
-        var o = new RecordWriter();
-        n.write(o);
-        return put(c.atUs, n, Base64.getEncoder().encodeToString(o.bytes()));
-    }
-
-    /**
-     * How a run came to nothing: 0 it did not run, 1 it may have run, 2 the replica's answer was a
-     * failure.
-     */
-    private Said back(ClusterState.Change c, Job j, int how, String why) {
-        if (how == 1 && !j.repeatable) {
-            return put(c.atUs, ended(j, Job.State.UNCERTAIN, why, c.atUs), "");
-        }
-        if (how == 2 && !j.repeatable || how > 0 && j.runs >= MOST_RUNS) {
-            return put(c.atUs, ended(j, Job.State.FAILED, why, c.atUs), "");
+    /** A copy of a job that has ended; what only a later run or the result needs is dropped. */
+    Job ended(Job job, Job.State state, String reason, long atUs) {
+        var copy = job.copy();
+        copy.state = state;
+        copy.why = reason;
+        copy.endedUs = clockAt(atUs);
+        if (state != Job.State.DONE) {
+            copy.kept = new byte[0];
+            copy.body = new byte[0];
         }
-        var n = j.copy();
-        n.state = Job.State.WAITING;
-        n.why = why;
-        return put(c.atUs, n, "");
+        return copy;
     }
 
-    /** Moves the clock, ends what is past its due time, and lets go of old ends. */
-    private Said tick(long at) {
-        var now = Math.max(clockUs, at);
-        var m = new TreeMap<String, Job>();
-        for (var j : jobs.values()) {
-            if (j.state == Job.State.WAITING && now > j.dueUs) {
-                m.put(j.id, ended(j, Job.State.EXPIRED, "its due time passed while it waited", at));
-            } else if (j.state == Job.State.RUNNING && now > j.dueUs + LATE_US) {
-                m.put(
-                        j.id,
-                        j.repeatable
-                                ? ended(
-                                        j,
-                                        Job.State.EXPIRED,
-                                        "its due time passed while it ran",
-                                        at)
-                                : ended(
-                                        j,
-                                        Job.State.UNCERTAIN,
-                                        "no word came from its runner",
-                                        at));
-            } else if (j.state.live() || now - j.endedUs < RESULT_AGE_US) {
-                m.put(j.id, j);
+    /** Moves the clock, ends what is past its due time, and forgets what ended long ago. */
+    private JobTable advancedTo(long atUs) {
+        var nowUs = clockAt(atUs);
+        var jobs = new TreeMap<String, Job>();
+        for (var job : byId.values()) {
+            if (job.state == Job.State.WAITING && nowUs > job.dueUs) {
+                var reason = "its due time passed while it waited";
+                jobs.put(job.id, ended(job, Job.State.EXPIRED, reason, atUs));
+            } else if (job.state == Job.State.RUNNING && nowUs > job.dueUs + OVERTIME_US) {
+                jobs.put(job.id, overdue(job, atUs));
+            } else if (job.state.live() || nowUs - job.endedUs < RETENTION_US) {
+                jobs.put(job.id, job);
             }
         }
-        return new Said(200, "", Optional.of(new JobTable(now, m)));
+        return new JobTable(nowUs, jobs);
     }
 
-    private String list(long at) {
-        var b = new StringBuilder("{\"Jobs\":[");
-        jobs.values()
-                .forEach(
-                        j ->
-                                b.append(b.charAt(b.length() - 1) == '[' ? "" : ",")
-                                        .append(j.json(Math.max(clockUs, at))));
-        return b.append("]}").toString();
+    private Job overdue(Job job, long atUs) {
+        return job.repeatable
+                ? ended(job, Job.State.EXPIRED, "its due time passed while it ran", atUs)
+                : ended(job, Job.State.UNCERTAIN, "no word came from its runner", atUs);
     }
 
-    public String text(long at) {
-        var b = new StringBuilder();
-        var now = Math.max(clockUs, at);
-        jobs.values()
-                .forEach(
-                        j ->
-                                b.append(
-                                        String.format(
-                                                "%s %s %s age %d ms slack %d ms runs %d fence %d"
-                                                        + " %s\n",
-                                                j.id,
-                                                j.state.word(),
-                                                j.region,
-                                                (now - j.submittedUs) / 1000,
-                                                (j.dueUs - now) / 1000,
-                                                j.runs,
-                                                j.fence,
-                                                j.why)));
-        return b.toString();
+    /** All jobs for the operator's shell, one a line. */
+    public String report(long atUs) {
+        return JobReports.text(this, atUs);
     }
 }
--- a/core/src/test/java/martenloom/core/chain/CatchUpTest.java
+++ b/core/src/test/java/martenloom/core/chain/CatchUpTest.java
@@ -57,7 +57,8 @@
         var state = w.head().committed();
         assertEquals(
                 ROUTES,
-                state.routingText.lines().filter(l -> l.contains("/")).count() >= ROUTES
+                state.configuration().routingText().lines().filter(l -> l.contains("/")).count()
+                                >= ROUTES
                         ? ROUTES
                         : 0,
                 "all routes are in it");
@@ -80,8 +81,8 @@
                         CATCH_UP_US,
                         () ->
                                 w.whole()
-                                        && n.core.get().committed().edition
-                                                == w.head().committed().edition);
+                                        && n.core.get().committed().edition()
+                                                == w.head().committed().edition());
         var bytes = w.receivedBytes.get(n.ip) - before;
         var elsewhere =
                 w.nodes.values().stream()
--- a/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
@@ -10,6 +10,8 @@
 import java.util.stream.Collectors;
 import martenloom.core.golden.GoldenFile;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.SetReplicaCount;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /** Holds the wire form of every message between members of the chain. */
@@ -77,11 +79,10 @@
         return new ChainMessage.View(NEWER, CHAIN, learners);
     }
 
-    private static ClusterState.Change change() {
-        return new ClusterState.Change(ClusterState.Act.SCALE, 4, "north/m", "1\nn2")
-                .stamped(1_234_567)
-                .surveyed("survey")
-                .versioned(6);
+    private static StampedCommand change() {
+        return StampedCommand.of(new SetReplicaCount("north/m", 4, 6, "1\nn2"))
+                .stampedAt(1_234_567)
+                .surveyed("survey");
     }
 
     @Test
@@ -131,8 +132,7 @@
         var step = (ChainMessage.Step) read("step with learners");
         assertEquals(viewWithLearners(), step.view());
         assertEquals(EDITION, step.edition());
-        assertEquals("north/m", step.change().subject);
-        assertEquals(6, step.change().version);
+        assertEquals(change(), step.change());
         assertEquals(
                 new ChainMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000),
                 read("heartbeat"));
--- a/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
@@ -12,6 +12,8 @@
 import martenloom.core.chain.ChainMember.Ballot;
 import martenloom.core.chain.ChainMember.MemberState;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -22,8 +24,7 @@
     private static final Ballot SECOND = new Ballot(4, "b");
     private static final ChainMessage.View VIEW =
             new ChainMessage.View(SECOND, List.of("b", "c"), Map.of("c", 9L));
-    private static final ClusterState.Change CHANGE =
-            new ClusterState.Change(ClusterState.Act.ROSTER, 7, "d", "x");
+    private static final StampedCommand CHANGE = StampedCommand.of(new GrantLease("d", 7, "x"));
 
     @Test
     void eachMessageIsReadAsItWasWritten() {
@@ -72,7 +73,7 @@
         var kept = Optional.of(new MemberState(FIRST, acceptedIn, state));
         var member = new ChainMember("c", 1, kept, Comparator.naturalOrder(), 0);
         var view = new ChainMessage.View(SECOND, List.of("b", "c"), Map.of());
-        var pass = new ChainMessage.Pass(view, FIRST, List.of("c"), state.edition, new byte[0]);
+        var pass = new ChainMessage.Pass(view, FIRST, List.of("c"), state.edition(), new byte[0]);
         member.onRecord(10, "b", pass.encode().bytes());
         return member.drain().stream().filter(c -> c instanceof ChainMember.Store).count();
     }
--- a/core/src/test/java/martenloom/core/chain/ChainStormTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainStormTest.java
@@ -99,17 +99,19 @@
         while (w.now < t0 + ChainMember.GONE_US - 5_000_000) {
             w.step();
         }
-        assertEquals(N, w.head().committed().roster.size(), "not before its time");
+        assertEquals(N, w.head().committed().roster().members().size(), "not before its time");
         while (w.now < t0 + 2 * ChainMember.GONE_US) {
             w.step();
         }
         assertEquals(
-                N, w.head().committed().roster.size(), "three in the chain are fewer than four");
+                N,
+                w.head().committed().roster().members().size(),
+                "three in the chain are fewer than four");
         w.nodes.values().forEach(n -> n.core.ifPresent(c -> c.onLeastRoster(3)));
         while (w.now < t0 + 4 * ChainMember.GONE_US) {
             w.step();
         }
-        var r = w.head().committed().roster;
+        var r = w.head().committed().roster().members();
         assertEquals(3, r.size(), "both are taken off, one after the other");
         assertTrue(gone.stream().noneMatch(n -> r.contains(n.ip)));
         gone.forEach(n -> n.upAt = w.now);
@@ -162,18 +164,21 @@
         assertFalse(w.acked.isEmpty(), "something was acknowledged");
         var newest = Collections.max(w.acked.keySet());
         assertTrue(
-                s.revision >= newest,
-                "revision " + s.revision + " is behind the acknowledged " + newest);
-        if (s.revision == newest) {
-            assertEquals(w.acked.get(newest), s.json);
+                s.configuration().revision() >= newest,
+                "revision "
+                        + s.configuration().revision()
+                        + " is behind the acknowledged "
+                        + newest);
+        if (s.configuration().revision() == newest) {
+            assertEquals(w.acked.get(newest), s.configuration().json());
         }
         w.nodes
                 .values()
                 .forEach(
                         n ->
                                 assertEquals(
-                                        s.revision,
-                                        n.core.get().committed().revision,
+                                        s.configuration().revision(),
+                                        n.core.get().committed().configuration().revision(),
                                         "all members know the newest"));
         var many = w.acked.size();
         for (var i = 0; i < 1000 && w.acked.size() == many; i++) {
--- a/core/src/test/java/martenloom/core/chain/ChainWorld.java
+++ b/core/src/test/java/martenloom/core/chain/ChainWorld.java
@@ -15,6 +15,11 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * A seeded world for chains: delays, drops, cuts, crashes in the middle of a sync, wiped disks,
@@ -61,7 +66,7 @@
         /** Whether the state is left to others, so that the disk may go. */
         private boolean someoneStays() {
             var state = core.orElseThrow().committed();
-            return !state.departed.containsAll(state.roster);
+            return !state.roster().departed().containsAll(state.roster().members());
         }
     }
 
@@ -73,7 +78,7 @@
     private final PriorityQueue<Mail> mails =
             new PriorityQueue<>(
                     Comparator.<Mail>comparingLong(m -> m.at).thenComparingInt(m -> m.n));
-    private final Map<Long, ClusterState.Change> asked = new HashMap<>();
+    private final Map<Long, StampedCommand> asked = new HashMap<>();
     long now = 1_000_000;
     private int mailN;
     private long order;
@@ -188,9 +193,9 @@
                     h -> {
                         var urgency =
                                 now - n.leaveSinceUs < LEAVE_WAITS_US
-                                        ? ClusterState.LEAVE_SOON
-                                        : ClusterState.LEAVE_NOW;
-                        var c = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, n.ip, "");
+                                        ? Urgency.CAN_WAIT
+                                        : Urgency.IMMEDIATE;
+                        var c = StampedCommand.of(new MarkDeparting(n.ip, urgency));
                         asked.put(LEAVE_ORDERS + ++order, c);
                         h.core.get().onAsk(now, LEAVE_ORDERS + order, c);
                         carryOut(h);
@@ -211,7 +216,7 @@
                                     + rnd.nextInt(slow && rnd.nextInt(40) == 0 ? 3_000_000 : 5000);
                 } else if (c instanceof ChainMember.Answer a
                         && a.request() >= 0
-                        && a.status() == 200) {
+                        && a.code() == ResultCode.OK) {
                     answered(a.request());
                 }
             }
@@ -232,19 +237,19 @@
     }
 
     private void answered(long number) {
-        var c = asked.get(number);
-        if (c.act == ClusterState.Act.LEAVE) {
-            Optional.ofNullable(nodes.get(c.subject))
+        var command = asked.get(number).command();
+        if (command instanceof MarkDeparting departing) {
+            Optional.ofNullable(nodes.get(departing.member()))
                     .filter(Node::leaving)
                     .ifPresent(n -> n.leaveTaken = true);
         }
-        if (c.act != ClusterState.Act.REPLACE) {
+        if (!(command instanceof ReplaceConfiguration c)) {
             return;
         }
-        var before = Optional.ofNullable(acked.put(c.base + 1, c.body));
+        var before = Optional.ofNullable(acked.put(c.baseRevision() + 1, c.json()));
         assertTrue(
-                before.isEmpty() || before.get().equals(c.body),
-                "two changes on base " + c.base + " were both acknowledged");
+                before.isEmpty() || before.get().equals(c.json()),
+                "two changes on base " + c.baseRevision() + " were both acknowledged");
     }
 
     void ask() {
@@ -258,23 +263,22 @@
             return;
         }
         var n = l.get(rnd.nextInt(l.size()));
-        var base = n.core.get().committed().revision;
+        var base = n.core.get().committed().configuration().revision();
         var c =
-                new ClusterState.Change(
-                        ClusterState.Act.REPLACE,
-                        base,
-                        "",
-                        "{\"Revision\":"
-                                + (base + 1)
-                                + ",\"Routes\":["
-                                + routes
-                                + "],\"Backends\":["
-                                + (routes.isEmpty()
-                                        ? ""
-                                        : "{\"Name\":\"plain\",\"HealthPath\":\"/h\",\"MaxConnections\":60,\"WarmupS\":0,\"WarmupPerS\":0}")
-                                + "],\"Note\":"
-                                + bodies++
-                                + "}");
+                StampedCommand.of(
+                        new ReplaceConfiguration(
+                                base,
+                                "{\"Revision\":"
+                                        + (base + 1)
+                                        + ",\"Routes\":["
+                                        + routes
+                                        + "],\"Backends\":["
+                                        + (routes.isEmpty()
+                                                ? ""
+                                                : "{\"Name\":\"plain\",\"HealthPath\":\"/h\",\"MaxConnections\":60,\"WarmupS\":0,\"WarmupPerS\":0}")
+                                        + "],\"Note\":"
+                                        + bodies++
+                                        + "}"));
         asked.put(++order, c);
         n.core.get().onAsk(now, order, c);
         carryOut(n);
@@ -332,12 +336,20 @@
                                         n.core.isPresent()
                                                 && !n.leaving()
                                                 && n.core.get().mode() != ChainMember.Mode.LEARNING
-                                                && n.core.get().memberState().state.roster.stream()
+                                                && n
+                                                        .core
+                                                        .get()
+                                                        .memberState()
+                                                        .state
+                                                        .roster()
+                                                        .members()
+                                                        .stream()
                                                         .noneMatch(removed::contains)
                                                 && n.core.get()
                                                         .memberState()
                                                         .state
-                                                        .roster
+                                                        .roster()
+                                                        .members()
                                                         .contains(n.ip));
     }
 
@@ -384,7 +396,8 @@
     }
 
     boolean grown(int members) {
-        return heads().stream().anyMatch(n -> n.core.get().committed().roster.size() == members);
+        return heads().stream()
+                .anyMatch(n -> n.core.get().committed().roster().members().size() == members);
     }
 
     List<Node> heads() {
@@ -436,8 +449,8 @@
         var c = h.get(0).core.get();
         var state = c.committed();
         return Set.copyOf(c.chain()).equals(nodes.keySet())
-                && Set.copyOf(state.roster).equals(nodes.keySet())
-                && state.departed.isEmpty();
+                && Set.copyOf(state.roster().members()).equals(nodes.keySet())
+                && state.roster().departed().isEmpty();
     }
 
     /** Asks until a change is acknowledged, and says after how long. */
@@ -470,11 +483,13 @@
                                                                         + " roster "
                                                                         + c.memberState()
                                                                                 .state
-                                                                                .roster
+                                                                                .roster()
+                                                                                .members()
                                                                         + " departed "
                                                                         + c.memberState()
                                                                                 .state
-                                                                                .departed)
+                                                                                .roster()
+                                                                                .departed())
                                                 .orElse("down"))
                 .collect(Collectors.joining("\n", "\n", ""));
     }
--- a/core/src/test/java/martenloom/core/chain/MembershipTest.java
+++ b/core/src/test/java/martenloom/core/chain/MembershipTest.java
@@ -9,6 +9,11 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.AddMember;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.RemoveMember;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -65,7 +70,7 @@
         w.run(3_000_000);
         assertEquals(
                 members,
-                w.head().committed().roster.size(),
+                w.head().committed().roster().members().size(),
                 "nobody is struck who was not replaced");
         for (var i = 0; i < dead; i++) {
             w.addMachine();
@@ -96,7 +101,7 @@
         var newest = Collections.max(w.acked.keySet());
         w.crash(follower(w), true);
         w.untilAcknowledged(5_000_000);
-        assertTrue(w.head().committed().revision > newest);
+        assertTrue(w.head().committed().configuration().revision() > newest);
         w.until("the wiped one is back", 2 * CATCH_UP_US, w::whole);
     }
 
@@ -141,11 +146,11 @@
             w.untilAcknowledged(3_000_000);
         }
         var last = w.heads().get(0);
-        assertEquals(List.of(last.ip), w.head().committed().roster);
+        assertEquals(List.of(last.ip), w.head().committed().roster().members());
         var newest = Collections.max(w.acked.keySet());
         w.nodes.values().forEach(n -> n.upAt = w.now);
         w.until("all are back", 2 * CATCH_UP_US, w::whole);
-        assertTrue(w.head().committed().revision >= newest);
+        assertTrue(w.head().committed().configuration().revision() >= newest);
     }
 
     /** One is down and was not replaced: a leaver that is needed stays until the other is back. */
@@ -160,7 +165,7 @@
         world.leave(leaver, false);
         world.run(4_000_000);
         assertTrue(leaver.core.isPresent(), "it is needed");
-        assertEquals(3, world.head().committed().roster.size());
+        assertEquals(3, world.head().committed().roster().members().size());
         world.untilAcknowledged(2_000_000);
         down.upAt = world.now;
         world.until("left once the other was back", 4_000_000, () -> leaver.core.isEmpty());
@@ -191,7 +196,7 @@
                             n.disk = Optional.empty();
                         });
         w.until("all are back", 4 * CATCH_UP_US, w::whole);
-        assertTrue(w.head().committed().revision >= newest);
+        assertTrue(w.head().committed().configuration().revision() >= newest);
     }
 
     /**
@@ -219,7 +224,7 @@
             var rosters =
                     nodes.stream()
                             .flatMap(n -> n.core.stream())
-                            .map(c -> Set.copyOf(c.memberState().state.roster));
+                            .map(c -> Set.copyOf(c.memberState().state.roster().members()));
             assertTrue(mayShrink || rosters.allMatch(roster::equals), world.toString());
         }
         assertTrue(world.whole(), world.toString());
@@ -269,7 +274,7 @@
         cut(w, away);
         w.untilAcknowledged(5_000_000);
         w.run(30_000_000);
-        assertEquals(members, w.head().committed().roster.size());
+        assertEquals(members, w.head().committed().roster().members().size());
         w.cut.clear();
         w.until("all are in the chain", CATCH_UP_US, w::whole);
     }
@@ -293,13 +298,21 @@
                         w.heads().stream()
                                 .anyMatch(
                                         h ->
-                                                !h.core.get().committed().roster.contains(away)
-                                                        && h.core.get().committed().roster.size()
+                                                !h.core.get()
+                                                                .committed()
+                                                                .roster()
+                                                                .members()
+                                                                .contains(away)
+                                                        && h.core.get()
+                                                                        .committed()
+                                                                        .roster()
+                                                                        .members()
+                                                                        .size()
                                                                 == members));
         w.untilAcknowledged(2_000_000);
         w.cut.clear();
         w.until("back", 2 * CATCH_UP_US, w::whole);
-        assertEquals(members + 1, w.head().committed().roster.size());
+        assertEquals(members + 1, w.head().committed().roster().members().size());
     }
 
     /**
@@ -319,8 +332,8 @@
                     3 * CATCH_UP_US,
                     () ->
                             w.heads().size() == 1
-                                    && !w.head().committed().roster.contains(n.ip)
-                                    && w.head().committed().roster.size() == 3);
+                                    && !w.head().committed().roster().members().contains(n.ip)
+                                    && w.head().committed().roster().members().size() == 3);
             w.untilAcknowledged(2_000_000);
         }
         var newest = Collections.max(w.acked.keySet());
@@ -344,7 +357,7 @@
         }
         w.cut.clear();
         w.until("all together", 3 * CATCH_UP_US, w::whole);
-        assertTrue(w.head().committed().revision >= newest);
+        assertTrue(w.head().committed().configuration().revision() >= newest);
     }
 
     /** A newcomer counts only with a write that it has itself accepted. */
@@ -358,9 +371,21 @@
                 () -> {
                     var counts =
                             w.nodes.values().stream()
-                                    .anyMatch(x -> x.core.get().committed().roster.contains(n.ip));
+                                    .anyMatch(
+                                            x ->
+                                                    x.core.get()
+                                                            .committed()
+                                                            .roster()
+                                                            .members()
+                                                            .contains(n.ip));
                     assertTrue(
-                            !counts || n.core.get().memberState().state.roster.contains(n.ip),
+                            !counts
+                                    || n.core.get()
+                                            .memberState()
+                                            .state
+                                            .roster()
+                                            .members()
+                                            .contains(n.ip),
                             "it accepted the write that names it");
                     return counts;
                 });
@@ -391,27 +416,25 @@
     void aLeaveIsOrderedOnceAndUndoneByComingBack() {
         var s = ClusterState.founded(List.of("a", "b", "c"));
         var left =
-                s.decide(new ClusterState.Change(ClusterState.Act.LEAVE, 0, "b", ""))
-                        .next
+                s.decide(StampedCommand.of(new MarkDeparting("b", Urgency.CAN_WAIT)))
+                        .next()
                         .orElseThrow();
-        assertEquals(Set.of("b"), left.departed);
-        assertEquals(List.of("a", "b", "c"), left.roster);
+        assertEquals(Set.of("b"), left.roster().departed());
+        assertEquals(List.of("a", "b", "c"), left.roster().members());
         assertTrue(
-                left.decide(new ClusterState.Change(ClusterState.Act.LEAVE, 0, "b", ""))
-                        .next
+                left.decide(StampedCommand.of(new MarkDeparting("b", Urgency.CAN_WAIT)))
+                        .next()
                         .isEmpty());
-        assertEquals(Set.of("b"), ClusterState.of(left.bytes()).departed);
+        assertEquals(Set.of("b"), ClusterState.of(left.bytes()).roster().departed());
         assertTrue(
-                left.decide(new ClusterState.Change(ClusterState.Act.ROSTER, 0, "b", ""))
-                        .next
+                left.decide(StampedCommand.of(new AddMember("b")))
+                        .next()
                         .orElseThrow()
-                        .departed
+                        .roster()
+                        .departed()
                         .isEmpty());
-        var struck =
-                left.decide(new ClusterState.Change(ClusterState.Act.ROSTER_OUT, 0, "b", ""))
-                        .next
-                        .orElseThrow();
-        assertEquals(List.of("a", "c"), struck.roster);
-        assertTrue(struck.departed.isEmpty());
+        var struck = left.decide(StampedCommand.of(new RemoveMember("b"))).next().orElseThrow();
+        assertEquals(List.of("a", "c"), struck.roster().members());
+        assertTrue(struck.roster().departed().isEmpty());
     }
 }
--- a/core/src/test/java/martenloom/core/chain/ProofTest.java
+++ b/core/src/test/java/martenloom/core/chain/ProofTest.java
@@ -13,6 +13,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.ReadConfiguration;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.UpdateConfiguration;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -27,7 +33,7 @@
 
     private final Map<String, ChainMember> all = new TreeMap<>();
     private final Deque<Mail> mails = new ArrayDeque<>();
-    private final Map<Long, Integer> answers = new TreeMap<>();
+    private final Map<Long, ResultCode> answers = new TreeMap<>();
     private final Set<String> cut = new HashSet<>();
     private long now = 1_000_000;
 
@@ -39,7 +45,7 @@
                 } else if (c instanceof ChainMember.Store s) {
                     all.get(ip).onStored(now, s.token());
                 } else if (c instanceof ChainMember.Answer a) {
-                    answers.put(a.request(), a.status());
+                    answers.put(a.request(), a.code());
                 }
             }
         }
@@ -83,25 +89,25 @@
         return names.stream().filter(n -> all.get(n).heading()).findFirst().orElseThrow();
     }
 
-    private void ask(String head, long request, ClusterState.Act a, String body) {
-        all.get(head).onAsk(now, request, new ClusterState.Change(a, 0, "", body));
+    private void ask(String head, long request, Command command) {
+        all.get(head).onAsk(now, request, StampedCommand.of(command));
         drain(head);
     }
 
+    private static Command replace(String json) {
+        return new ReplaceConfiguration(0, json);
+    }
+
     @Test
     void manyAnswersThatWriteNothingTakeOneRoundAndKeepNoWriteWaiting() {
         var h = head();
         var t0 = now;
         for (var i = 1; i <= 40; i++) {
-            ask(h, i, ClusterState.Act.READ, "");
+            ask(h, i, new ReadConfiguration());
         }
-        ask(h, 41, ClusterState.Act.REPLACE, "{\"Revision\":1,\"Routes\":[],\"Backends\":[]}");
+        ask(h, 41, replace("{\"Revision\":1,\"Routes\":[],\"Backends\":[]}"));
         for (var i = 42; i <= 80; i++) {
-            ask(
-                    h,
-                    i,
-                    ClusterState.Act.REPLACE,
-                    "{\"Revision\":1,\"Routes\":[],\"Backends\":[],\"Note\":" + i + "}");
+            ask(h, i, replace("{\"Revision\":1,\"Routes\":[],\"Backends\":[],\"Note\":" + i + "}"));
         }
         while (answers.size() < 80 && now - t0 < 60_000_000) {
             step();
@@ -110,11 +116,14 @@
         assertTrue(
                 now - t0 <= 3 * (4 * HOP_US + 4 * STEP_US),
                 "a round of proof, the write, and another round: " + (now - t0) + " us");
-        assertEquals(200, answers.get(41L));
+        assertEquals(ResultCode.OK, answers.get(41L));
         assertEquals(
                 39,
                 answers.entrySet().stream()
-                        .filter(e -> e.getKey() > 41 && e.getValue() == 412)
+                        .filter(
+                                e ->
+                                        e.getKey() > 41
+                                                && e.getValue() == ResultCode.PRECONDITION_FAILED)
                         .count(),
                 "one winner");
     }
@@ -123,11 +132,11 @@
     void aHeadThatWasCutOffGivesNone() {
         var h = head();
         cut.add(h);
-        ask(h, 1, ClusterState.Act.READ, "");
+        ask(h, 1, new ReadConfiguration());
         for (var i = 0; i < 2000; i++) {
             step();
         }
-        assertEquals(503, answers.get(1L));
+        assertEquals(ResultCode.UNAVAILABLE, answers.get(1L));
         assertTrue(
                 all.entrySet().stream()
                         .anyMatch(e -> !e.getKey().equals(h) && e.getValue().heading()),
@@ -141,12 +150,12 @@
     void aHeadThatWasCutOffDoesNotRefuseWhatIsInvalid() {
         var h = head();
         cut.add(h);
-        ask(h, 1, ClusterState.Act.REPLACE, "{\"Revision\":0,\"Routes\":[],\"Backends\":[]}");
-        ask(h, 2, ClusterState.Act.UPDATE, "not to be read");
+        ask(h, 1, replace("{\"Revision\":0,\"Routes\":[],\"Backends\":[]}"));
+        ask(h, 2, new UpdateConfiguration(0, "not to be read"));
         for (var i = 0; i < 2000; i++) {
             step();
         }
-        assertEquals(503, answers.get(1L));
-        assertEquals(503, answers.get(2L));
+        assertEquals(ResultCode.UNAVAILABLE, answers.get(1L));
+        assertEquals(ResultCode.UNAVAILABLE, answers.get(2L));
     }
 }
--- a/core/src/test/java/martenloom/core/golden/FilledState.java
+++ b/core/src/test/java/martenloom/core/golden/FilledState.java
@@ -8,6 +8,29 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.AddMember;
+import martenloom.core.state.Command.AdvanceJobClock;
+import martenloom.core.state.Command.AppendJobOutput;
+import martenloom.core.state.Command.CancelJob;
+import martenloom.core.state.Command.ConfirmJobResult;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.FinishJob;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Placing;
+import martenloom.core.state.Command.RemoveMember;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.ReturnJob;
+import martenloom.core.state.Command.SetPlacement;
+import martenloom.core.state.Command.SetReplicaCount;
+import martenloom.core.state.Command.StartEvacuation;
+import martenloom.core.state.Command.StartJob;
+import martenloom.core.state.Command.SubmitJob;
+import martenloom.core.state.Command.UpdateConfiguration;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import martenloom.routing.placement.Placement;
 
 /**
@@ -50,29 +73,29 @@
     }
 
     private void members() {
-        order(ClusterState.Act.ROSTER, 0, "10.3.0.1", "");
-        order(ClusterState.Act.ROSTER, 0, "10.4.0.1", "");
-        order(ClusterState.Act.ROSTER_OUT, 0, "10.4.0.1", "");
-        order(ClusterState.Act.LEAVE, ClusterState.LEAVE_SOON, "10.2.0.1", "");
-        order(ClusterState.Act.LEAVE, ClusterState.LEAVE_NOW, "10.3.0.1", "");
+        order(new AddMember("10.3.0.1"));
+        order(new AddMember("10.4.0.1"));
+        order(new RemoveMember("10.4.0.1"));
+        order(new MarkDeparting("10.2.0.1", Urgency.CAN_WAIT));
+        order(new MarkDeparting("10.3.0.1", Urgency.IMMEDIATE));
     }
 
     private void configuration() {
-        order(ClusterState.Act.REPLACE, 0, "", CONFIGURATION);
-        order(ClusterState.Act.UPDATE, 1, "", "{\"Revision\":2,\"Upsert\":{\"Note\":\"second\"}}");
+        order(new ReplaceConfiguration(0, CONFIGURATION));
+        order(new UpdateConfiguration(1, "{\"Revision\":2,\"Upsert\":{\"Note\":\"second\"}}"));
     }
 
     private void duties() {
-        order(ClusterState.Act.DUTY, 0, "jobs/north", "10.0.2.1#7");
-        order(ClusterState.Act.DUTY, 0, "scale/north", "10.0.2.1#7");
-        order(ClusterState.Act.DUTY, 0, "scale/south", "10.1.2.1#8");
-        order(ClusterState.Act.DUTY, 1, "scale/south", "10.1.2.2#9");
+        order(new GrantLease("jobs/north", 0, "10.0.2.1#7"));
+        order(new GrantLease("scale/north", 0, "10.0.2.1#7"));
+        order(new GrantLease("scale/south", 0, "10.1.2.1#8"));
+        order(new GrantLease("scale/south", 1, "10.1.2.2#9"));
     }
 
     private void evacuations() {
-        order(ClusterState.Act.EVAC_START, 0, "north-a", "");
-        order(ClusterState.Act.EVAC_START, 0, "south-b", "");
-        order(ClusterState.Act.EVAC_FINISH, 0, "south-b", "");
+        order(new StartEvacuation("north-a"));
+        order(new StartEvacuation("south-b"));
+        order(new FinishEvacuation("south-b"));
     }
 
     private void scales() {
@@ -82,11 +105,10 @@
         running.put("s", "south", "s1");
         running.put("s", "west", "w1");
         take(
-                new ClusterState.Change(ClusterState.Act.SCALE, GRANT, "north/m", "1\nn2\nn3")
-                        .versioned(5)
+                StampedCommand.of(new SetReplicaCount("north/m", GRANT, 5, "1\nn2\nn3"))
                         .surveyed(running.text()));
-        order(ClusterState.Act.PLACE, 0, "south/m", "unload");
-        order(ClusterState.Act.PLACE, 0, "west/m", "load");
+        order(new SetPlacement("south/m", Placing.UNLOAD));
+        order(new SetPlacement("west/m", Placing.LOAD));
     }
 
     private void jobs() {
@@ -100,27 +122,44 @@
         submit("job-cancelled", true, LONG_TIME_US);
         submit("job-expired", true, SHORT_TIME_US);
         run("job-back");
-        word(ClusterState.Act.JOB_BACK, "job-back", new RecordWriter().u8(0).text("no room, süd"));
+        take(
+                new ReturnJob(
+                        "job-back",
+                        GRANT,
+                        1,
+                        base64(new RecordWriter().u8(0).text("no room, süd"))),
+                ENDED_AT_US);
         run("job-running");
-        word(ClusterState.Act.JOB_KEEP, "job-running", kept("event-3", 0, "first part"));
+        take(
+                new AppendJobOutput(
+                        "job-running", GRANT, 1, base64(kept("event-3", 0, "first part"))),
+                ENDED_AT_US);
         run("job-done");
-        word(ClusterState.Act.JOB_KEEP, "job-done", kept("event-4", 0, "first, "));
-        word(ClusterState.Act.JOB_DONE, "job-done", done(7, "second"));
+        take(
+                new AppendJobOutput("job-done", GRANT, 1, base64(kept("event-4", 0, "first, "))),
+                ENDED_AT_US);
+        take(new FinishJob("job-done", GRANT, 1, base64(done(7, "second"))), ENDED_AT_US);
         run("job-confirmed");
-        word(ClusterState.Act.JOB_DONE, "job-confirmed", done(0, "whole"));
-        atTime(ClusterState.Act.JOB_CONFIRM, "job-confirmed", "", ENDED_AT_US);
+        take(new FinishJob("job-confirmed", GRANT, 1, base64(done(0, "whole"))), ENDED_AT_US);
+        take(new ConfirmJobResult("job-confirmed"), ENDED_AT_US);
         run("job-failed");
-        word(
-                ClusterState.Act.JOB_BACK,
-                "job-failed",
-                new RecordWriter().u8(RAN_AND_FAILED).text("status 500"));
+        take(
+                new ReturnJob(
+                        "job-failed",
+                        GRANT,
+                        1,
+                        base64(new RecordWriter().u8(RAN_AND_FAILED).text("status 500"))),
+                ENDED_AT_US);
         run("job-uncertain");
-        word(
-                ClusterState.Act.JOB_BACK,
-                "job-uncertain",
-                new RecordWriter().u8(MAY_HAVE_RUN).text("link lost"));
-        atTime(ClusterState.Act.JOB_CANCEL, "job-cancelled", "", ENDED_AT_US);
-        atTime(ClusterState.Act.JOB_CLOCK, "", "", CLOCK_AT_US);
+        take(
+                new ReturnJob(
+                        "job-uncertain",
+                        GRANT,
+                        1,
+                        base64(new RecordWriter().u8(MAY_HAVE_RUN).text("link lost"))),
+                ENDED_AT_US);
+        take(new CancelJob("job-cancelled"), ENDED_AT_US);
+        take(new AdvanceJobClock(), CLOCK_AT_US);
     }
 
     private void submit(String id, boolean repeatable, long timeUs) {
@@ -138,22 +177,11 @@
         job.dueUs = timeUs;
         var out = new RecordWriter();
         job.write(out);
-        atTime(ClusterState.Act.JOB_SUBMIT, id, base64(out), SUBMITTED_AT_US);
+        take(new SubmitJob(id, base64(out)), SUBMITTED_AT_US);
     }
 
     private void run(String id) {
-        take(
-                new ClusterState.Change(ClusterState.Act.JOB_START, GRANT, id, "n1")
-                        .stamped(STARTED_AT_US)
-                        .versioned(0));
-    }
-
-    /** A word of the holder of the duty about the first run of a job. */
-    private void word(ClusterState.Act act, String id, RecordWriter body) {
-        take(
-                new ClusterState.Change(act, GRANT, id, base64(body))
-                        .stamped(ENDED_AT_US)
-                        .versioned(1));
+        take(new StartJob(id, GRANT, 0, "n1"), STARTED_AT_US);
     }
 
     private static RecordWriter kept(String lastEvent, int from, String more) {
@@ -171,18 +199,17 @@
         return Base64.getEncoder().encodeToString(out.bytes());
     }
 
-    private void atTime(ClusterState.Act act, String subject, String body, long atUs) {
-        take(new ClusterState.Change(act, 0, subject, body).stamped(atUs));
+    private void take(Command command, long atUs) {
+        take(StampedCommand.of(command).stampedAt(atUs));
     }
 
-    private void order(ClusterState.Act act, long base, String subject, String body) {
-        var change = new ClusterState.Change(act, base, subject, body).surveyed(running.text());
-        take(state.accepted(change));
+    private void order(Command command) {
+        take(state.accepted(command).surveyed(running.text()));
     }
 
-    private void take(ClusterState.Change change) {
-        var outcome = state.decide(change);
-        assertEquals(200, outcome.status, change.act + ": " + outcome.text);
-        state = outcome.next.orElseThrow();
+    private void take(StampedCommand command) {
+        var result = state.decide(command);
+        assertEquals(ResultCode.OK, result.code(), command + ": " + result.text());
+        state = result.next().orElseThrow();
     }
 }
--- a/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
@@ -16,6 +16,35 @@
 import martenloom.common.jobs.Job;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.AddMember;
+import martenloom.core.state.Command.AdvanceJobClock;
+import martenloom.core.state.Command.AppendJobOutput;
+import martenloom.core.state.Command.CancelJob;
+import martenloom.core.state.Command.ConfirmJobResult;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.FinishJob;
+import martenloom.core.state.Command.GetJob;
+import martenloom.core.state.Command.GetJobResult;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.Command.ListJobs;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Placing;
+import martenloom.core.state.Command.ReadConfiguration;
+import martenloom.core.state.Command.RemoveMember;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.ReturnJob;
+import martenloom.core.state.Command.SetPlacement;
+import martenloom.core.state.Command.SetReplicaCount;
+import martenloom.core.state.Command.StartEvacuation;
+import martenloom.core.state.Command.StartJob;
+import martenloom.core.state.Command.SubmitJob;
+import martenloom.core.state.Command.UpdateConfiguration;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.CommandType;
+import martenloom.core.state.ReplicaTarget;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -48,91 +77,65 @@
                 FilledState.build());
     }
 
-    /** Each change as the daemons send it, by its name in the recorded file. */
-    private static Map<String, ClusterState.Change> changes() {
-        var changes = new LinkedHashMap<String, ClusterState.Change>();
-        changes.put("replace configuration", change(ClusterState.Act.REPLACE, 7, "", JSON));
-        changes.put("update configuration", change(ClusterState.Act.UPDATE, 8, "", JSON));
-        changes.put(
-                "start evacuation",
-                change(ClusterState.Act.EVAC_START, 0, "north-a", "").versioned(3));
-        changes.put(
-                "finish evacuation",
-                change(ClusterState.Act.EVAC_FINISH, 0, "north-a", "").versioned(4));
-        changes.put("grant lease", change(ClusterState.Act.DUTY, 5, "scale/north", "10.1.2.2#9"));
-        changes.put("add member", change(ClusterState.Act.ROSTER, 0, "10.3.0.1", ""));
-        changes.put("read configuration", change(ClusterState.Act.READ, 0, "", ""));
-        changes.put("submit job", change(ClusterState.Act.JOB_SUBMIT, 0, "job-1", job()));
-        changes.put("get job", change(ClusterState.Act.JOB_GET, 0, "job-1", ""));
-        changes.put("list jobs", change(ClusterState.Act.JOB_LIST, 0, "", ""));
-        changes.put("get result of job", change(ClusterState.Act.JOB_RESULT, 0, "job-1", ""));
-        changes.put("confirm result of job", change(ClusterState.Act.JOB_CONFIRM, 0, "job-1", ""));
-        changes.put("cancel job", change(ClusterState.Act.JOB_CANCEL, 0, "job-1", ""));
-        changes.put(
-                "start job",
-                change(ClusterState.Act.JOB_START, 6, "job-1", "10.1.2.2").versioned(2));
-        changes.put(
-                "keep part of result of job",
-                change(
-                                ClusterState.Act.JOB_KEEP,
-                                6,
-                                "job-1",
-                                body(new RecordWriter().text("event-3").i32(10).blob(PART)))
-                        .versioned(3));
-        changes.put(
-                "finish job",
-                change(
-                                ClusterState.Act.JOB_DONE,
-                                6,
-                                "job-1",
-                                body(new RecordWriter().i32(200).i32(15).blob(PART)))
-                        .versioned(3));
-        changes.put(
-                "give job back",
-                change(
-                                ClusterState.Act.JOB_BACK,
-                                6,
-                                "job-1",
-                                body(new RecordWriter().u8(1).text("it was let go, süd")))
-                        .versioned(3));
-        changes.put("advance clock of jobs", change(ClusterState.Act.JOB_CLOCK, 0, "", ""));
+    /** Each command as the daemons send it, by its name in the recorded file. */
+    private static Map<String, StampedCommand> changes() {
+        var changes = new LinkedHashMap<String, StampedCommand>();
+        changes.put("replace configuration", stamped(new ReplaceConfiguration(7, JSON)));
+        changes.put("update configuration", stamped(new UpdateConfiguration(8, JSON)));
+        changes.put("start evacuation", stamped(new StartEvacuation("north-a")).acceptedOn(3));
+        changes.put("finish evacuation", stamped(new FinishEvacuation("north-a")).acceptedOn(4));
+        changes.put("grant lease", stamped(new GrantLease("scale/north", 5, "10.1.2.2#9")));
+        changes.put("add member", stamped(new AddMember("10.3.0.1")));
+        changes.put("read configuration", stamped(new ReadConfiguration()));
+        jobCommands(changes);
         changes.put(
                 "scale to a count",
-                change(ClusterState.Act.SCALE, 6, "north/m", "2\nn2\nn3")
-                        .surveyed(SURVEY)
-                        .versioned(11));
+                stamped(new SetReplicaCount("north/m", 6, 11, "2\nn2\nn3")).surveyed(SURVEY));
         changes.put(
                 "scale to all",
-                change(ClusterState.Act.SCALE, 6, "north/m", "all").surveyed(SURVEY).versioned(12));
+                stamped(new SetReplicaCount("north/m", 6, 12, "all")).surveyed(SURVEY));
         changes.put(
                 "unload model",
-                change(ClusterState.Act.PLACE, 0, "south/m", "unload")
+                stamped(new SetPlacement("south/m", Placing.UNLOAD))
                         .surveyed(SURVEY)
-                        .versioned(1));
+                        .acceptedOn(1));
         changes.put(
                 "load model",
-                change(ClusterState.Act.PLACE, 0, "south/m", "load").surveyed(SURVEY).versioned(2));
-        changes.put("remove member", change(ClusterState.Act.ROSTER_OUT, 0, "10.3.0.1", ""));
-        changes.put(
-                "leave soon",
-                change(ClusterState.Act.LEAVE, ClusterState.LEAVE_SOON, "10.2.0.1", ""));
-        changes.put(
-                "leave now",
-                change(ClusterState.Act.LEAVE, ClusterState.LEAVE_NOW, "10.2.0.1", ""));
+                stamped(new SetPlacement("south/m", Placing.LOAD)).surveyed(SURVEY).acceptedOn(2));
+        changes.put("remove member", stamped(new RemoveMember("10.3.0.1")));
+        changes.put("leave soon", stamped(new MarkDeparting("10.2.0.1", Urgency.CAN_WAIT)));
+        changes.put("leave now", stamped(new MarkDeparting("10.2.0.1", Urgency.IMMEDIATE)));
         changes.put(
                 "change that nobody accepted",
-                new ClusterState.Change(ClusterState.Act.REPLACE, 0, "", JSON));
+                StampedCommand.of(new ReplaceConfiguration(0, JSON)));
         return changes;
     }
 
+    private static void jobCommands(Map<String, StampedCommand> changes) {
+        changes.put("submit job", stamped(new SubmitJob("job-1", job())));
+        changes.put("get job", stamped(new GetJob("job-1")));
+        changes.put("list jobs", stamped(new ListJobs()));
+        changes.put("get result of job", stamped(new GetJobResult("job-1")));
+        changes.put("confirm result of job", stamped(new ConfirmJobResult("job-1")));
+        changes.put("cancel job", stamped(new CancelJob("job-1")));
+        changes.put("start job", stamped(new StartJob("job-1", 6, 2, "10.1.2.2")));
+        var output = body(new RecordWriter().text("event-3").i32(10).blob(PART));
+        changes.put(
+                "keep part of result of job", stamped(new AppendJobOutput("job-1", 6, 3, output)));
+        var completion = body(new RecordWriter().i32(200).i32(15).blob(PART));
+        changes.put("finish job", stamped(new FinishJob("job-1", 6, 3, completion)));
+        var failure = body(new RecordWriter().u8(1).text("it was let go, süd"));
+        changes.put("give job back", stamped(new ReturnJob("job-1", 6, 3, failure)));
+        changes.put("advance clock of jobs", stamped(new AdvanceJobClock()));
+    }
+
     private static final String JSON = "{\"Revision\":9,\"Routes\":[],\"Name\":\"süd\"}";
     private static final String SURVEY = "m north n1 n2 n3\nm south s1";
     private static final byte[] PART = "a part of a result".getBytes(StandardCharsets.UTF_8);
     private static final long JOB_CLOCK_US = 1_234_567_890_123L;
 
-    private static ClusterState.Change change(
-            ClusterState.Act act, long base, String subject, String body) {
-        return new ClusterState.Change(act, base, subject, body).stamped(JOB_CLOCK_US);
+    private static StampedCommand stamped(Command command) {
+        return StampedCommand.of(command).stampedAt(JOB_CLOCK_US);
     }
 
     private static String body(RecordWriter fields) {
@@ -159,9 +162,9 @@
         return written;
     }
 
-    private static byte[] bytes(ClusterState.Change change) {
+    private static byte[] bytes(StampedCommand command) {
         var out = new RecordWriter();
-        change.write(out);
+        CommandCodec.write(out, command);
         return out.bytes();
     }
 
@@ -190,48 +193,53 @@
         assertEquals(new ChainMember.Ballot(12, "10.1.0.1"), member.promised);
         assertEquals(new ChainMember.Ballot(11, "10.0.0.1"), member.accepted);
         var state = member.state;
-        assertEquals(List.of("10.0.0.1", "10.1.0.1", "10.2.0.1", "10.3.0.1"), state.roster);
-        assertEquals(Set.of("10.2.0.1", "10.3.0.1"), state.departed);
-        assertEquals(2, state.revision);
-        assertTrue(state.json.contains("h.example"), state.json);
-        assertTrue(state.json.contains("second"), state.json);
-        assertTrue(state.routingText.contains("h.example"), state.routingText);
-        assertEquals(2, state.applied.size());
-        assertEquals(Set.of("north-a"), state.evacuated);
-        assertEquals(Set.of("jobs/north", "scale/north", "scale/south"), state.duties.keySet());
-        assertEquals(2, state.duties.get("scale/south").grant);
-        assertEquals("10.1.2.2#9", state.duties.get("scale/south").holder);
         assertEquals(
-                new ClusterState.Scale(1, false, 1, Set.of("n2", "n3")),
-                state.scales.get("north/m"));
-        assertEquals(new ClusterState.Scale(0, true, 0, Set.of()), state.scales.get("south/m"));
+                List.of("10.0.0.1", "10.1.0.1", "10.2.0.1", "10.3.0.1"), state.roster().members());
+        assertEquals(Set.of("10.2.0.1", "10.3.0.1"), state.roster().departed());
+        assertEquals(2, state.configuration().revision());
+        assertTrue(
+                state.configuration().json().contains("h.example"), state.configuration().json());
+        assertTrue(state.configuration().json().contains("second"), state.configuration().json());
+        assertTrue(
+                state.configuration().routingText().contains("h.example"),
+                state.configuration().routingText());
+        assertEquals(2, state.configuration().applied().size());
+        assertEquals(Set.of("north-a"), state.evacuations().zones());
+        assertEquals(
+                Set.of("jobs/north", "scale/north", "scale/south"),
+                state.leases().byRole().keySet());
+        assertEquals(2, state.leases().byRole().get("scale/south").fencingToken());
+        assertEquals("10.1.2.2#9", state.leases().byRole().get("scale/south").holder());
+        assertEquals(
+                new ReplicaTarget(1, false, 1, Set.of("n2", "n3")),
+                state.scaling().targets().get("north/m"));
+        assertEquals(
+                new ReplicaTarget(0, true, 0, Set.of()), state.scaling().targets().get("south/m"));
         assertEquals(
-                Map.of(
-                        "evacuation/north-a", 1L,
-                        "evacuation/south-b", 2L,
-                        "placement/south/m", 1L,
-                        "placement/west/m", 1L,
-                        "scaling/north/m", (1L << 32) + 5),
-                state.versions);
-        assertEquals(9_000_000, state.jobTable.clockUs);
+                Map.of("north-a", 1L, "south-b", 2L), state.evacuations().versions().bySubject());
+        assertEquals(
+                Map.of("south/m", 1L, "west/m", 1L),
+                state.scaling().placementVersions().bySubject());
+        assertEquals(Map.of("north/m", (1L << 32) + 5), state.scaling().scalerOrders().bySubject());
+        assertEquals(9_000_000, state.jobs().clockUs());
         assertEquals(
                 EnumSet.allOf(Job.State.class),
-                state.jobTable.jobs.values().stream()
+                state.jobs().byId().values().stream()
                         .map(job -> job.state)
                         .collect(Collectors.toSet()));
-        var running = state.jobTable.jobs.get("job-running");
+        var running = state.jobs().byId().get("job-running");
         assertEquals("event-3", running.lastEvent);
         assertEquals(10, running.kept.length);
-        assertEquals("first, second", new String(state.jobTable.jobs.get("job-done").result));
-        assertTrue(state.jobTable.jobs.get("job-confirmed").confirmed);
-        assertEquals("no room, süd", state.jobTable.jobs.get("job-back").why);
+        assertEquals("first, second", new String(state.jobs().byId().get("job-done").result));
+        assertTrue(state.jobs().byId().get("job-confirmed").confirmed);
+        assertEquals("no room, süd", state.jobs().byId().get("job-back").why);
     }
 
     @Test
     void changesAreWrittenAsRecorded() {
-        var acts = EnumSet.noneOf(ClusterState.Act.class);
-        changes().values().forEach(change -> acts.add(change.act));
-        assertEquals(EnumSet.allOf(ClusterState.Act.class), acts);
+        var acts = EnumSet.noneOf(CommandType.class);
+        changes().values().forEach(change -> acts.add(change.command().type()));
+        assertEquals(EnumSet.allOf(CommandType.class), acts);
         GoldenFile.assertRecorded(GoldenFile.read(CHANGES), writtenChanges());
     }
 
@@ -243,21 +251,33 @@
                                 GoldenFile.assertSameBytes(
                                         name,
                                         bytes,
-                                        bytes(
-                                                ClusterState.Change.read(
-                                                        new RecordReader(bytes, false)))));
+                                        bytes(CommandCodec.read(new RecordReader(bytes, false)))));
+    }
+
+    @Test
+    void recordedChangesAreReadWithAllTheirFields() {
+        var recorded = GoldenFile.read(CHANGES);
+        changes()
+                .forEach(
+                        (name, change) ->
+                                assertEquals(
+                                        change,
+                                        CommandCodec.read(
+                                                new RecordReader(recorded.get(name), false)),
+                                        name));
     }
 
     @Test
     void aRecordedScaleOrderHasItsFields() {
         var recorded = GoldenFile.read(CHANGES).get("scale to a count");
-        var change = ClusterState.Change.read(new RecordReader(recorded, false));
-        assertEquals(ClusterState.Act.SCALE, change.act);
-        assertEquals(6, change.base);
-        assertEquals("north/m", change.subject);
-        assertEquals("2\nn2\nn3", change.body);
-        assertEquals(JOB_CLOCK_US, change.atUs);
-        assertEquals(SURVEY, change.survey);
-        assertEquals(11, change.version);
+        var change = CommandCodec.read(new RecordReader(recorded, false));
+        assertEquals(CommandType.SET_REPLICA_COUNT, change.command().type());
+        var order = (SetReplicaCount) change.command();
+        assertEquals(6, order.fencingToken());
+        assertEquals("north/m", order.deployment());
+        assertEquals("2\nn2\nn3", order.order());
+        assertEquals(JOB_CLOCK_US, change.jobClockUs());
+        assertEquals(SURVEY, change.survey());
+        assertEquals(11, order.sequence());
     }
 }
--- a/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -14,6 +14,8 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /** Leases at the head of a chain of one member, whose disk finishes a write when it is told to. */
@@ -22,7 +24,7 @@
     private static final long STEP_US = 50_000;
 
     private final List<String> granted = new ArrayList<>();
-    private final Map<Long, BiConsumer<Integer, String>> asked = new HashMap<>();
+    private final Map<Long, BiConsumer<ResultCode, String>> asked = new HashMap<>();
     private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
     private final ChainMember chain;
     private final RoleLeaseService duties;
@@ -40,7 +42,7 @@
         duties = new RoleLeaseService(chain, this::ask, () -> nowUs);
     }
 
-    private void ask(ClusterState.Change change, BiConsumer<Integer, String> reply) {
+    private void ask(StampedCommand change, BiConsumer<ResultCode, String> reply) {
         asked.put(++requests, reply);
         chain.onAsk(nowUs, requests, change);
     }
@@ -68,7 +70,7 @@
             stores.add(store);
         } else if (command instanceof ChainMember.Answer answer) {
             Optional.ofNullable(asked.remove(answer.request()))
-                    .ifPresent(r -> r.accept(answer.status(), answer.text()));
+                    .ifPresent(r -> r.accept(answer.code(), answer.text()));
         }
     }
 
--- a/core/src/test/java/martenloom/core/state/JobTableTest.java
+++ b/core/src/test/java/martenloom/core/state/JobTableTest.java
@@ -4,195 +4,206 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.List;
-import java.util.Optional;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.core.state.Command.AdvanceJobClock;
+import martenloom.core.state.Command.AppendJobOutput;
+import martenloom.core.state.Command.CancelJob;
+import martenloom.core.state.Command.FinishJob;
+import martenloom.core.state.Command.GetJobResult;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.Command.ReturnJob;
+import martenloom.core.state.Command.StartJob;
+import martenloom.core.state.Command.SubmitJob;
 import org.junit.jupiter.api.Test;
 
-/** The states of a job and the fence, without any program around them. */
+/** The states of a job and the fencing of its runners, without any program around them. */
 final class JobTableTest {
-    private ClusterState s = ClusterState.founded(List.of("a"));
-
-    private int go(ClusterState.Act a, long fence, String id, RecordWriter body, long at) {
-        return go(
-                a,
-                fence,
-                id,
-                Optional.ofNullable(s.jobTable.jobs.get(id)).map(j -> j.runs).orElse(0),
-                body,
-                at);
-    }
-
-    private int go(
-            ClusterState.Act a, long fence, String id, long run, RecordWriter body, long at) {
-        var o =
-                s.decide(
-                        new ClusterState.Change(
-                                        a,
-                                        fence,
-                                        id,
-                                        Base64.getEncoder().encodeToString(body.bytes()))
-                                .stamped(at)
-                                .versioned(run));
-        s = o.next.orElse(s);
-        return o.status;
-    }
-
-    private void duty(String holder) {
-        s =
-                s.decide(
-                                new ClusterState.Change(
-                                        ClusterState.Act.DUTY,
-                                        Optional.ofNullable(s.duties.get("jobs/north"))
-                                                .map(d -> d.grant)
-                                                .orElse(0L),
-                                        "jobs/north",
-                                        holder))
-                        .next
-                        .get();
-    }
-
-    private int submit(String id, boolean repeatable, String text) {
-        var j = new Job();
-        j.id = id;
-        j.region = "north";
-        j.repeatable = repeatable;
-        j.body = text.getBytes();
-        j.digest = text;
-        j.dueUs = 60_000_000;
-        var o = new RecordWriter();
-        j.write(o);
-        return go(ClusterState.Act.JOB_SUBMIT, 0, id, o, 1000);
-    }
-
-    private Job.State state(String id) {
-        return s.jobTable.jobs.get(id).state;
-    }
-
-    private static RecordWriter kept(String last, int from, String more) {
-        return new RecordWriter().text(last).i32(from).blob(more.getBytes());
-    }
-
-    private static RecordWriter done(int from, String more) {
-        return new RecordWriter().i32(200).i32(from).blob(more.getBytes());
+    private static final String ROLE = "jobs/north";
+    private static final int NOT_RUN = 0;
+
+    private ClusterState state = ClusterState.founded(List.of("a"));
+
+    private ResultCode take(Command command, long atUs) {
+        var result = state.decide(StampedCommand.of(command).stampedAt(atUs));
+        state = result.next().orElse(state);
+        return result.code();
+    }
+
+    private void grant(String holder) {
+        var grant = new GrantLease(ROLE, state.leases().newestToken(ROLE), holder);
+        assertEquals(ResultCode.OK, take(grant, 0));
+    }
+
+    private ResultCode submit(String id, boolean repeatable, String text) {
+        var job = new Job();
+        job.id = id;
+        job.region = "north";
+        job.repeatable = repeatable;
+        job.body = text.getBytes(StandardCharsets.UTF_8);
+        job.digest = text;
+        job.dueUs = 60_000_000;
+        var out = new RecordWriter();
+        job.write(out);
+        return take(new SubmitJob(id, base64(out)), 1000);
+    }
+
+    /** Starts the run after those that the job has had. */
+    private ResultCode start(String id, long fencingToken, long atUs) {
+        return start(id, fencingToken, runs(id), atUs);
+    }
+
+    private ResultCode start(String id, long fencingToken, long run, long atUs) {
+        return take(new StartJob(id, fencingToken, run, ""), atUs);
+    }
+
+    private ResultCode append(
+            String id, long fencingToken, String lastEvent, int offset, String more, long atUs) {
+        var out = new RecordWriter().text(lastEvent).i32(offset).blob(bytes(more));
+        return take(new AppendJobOutput(id, fencingToken, runs(id), base64(out)), atUs);
+    }
+
+    private ResultCode finish(String id, long fencingToken, int offset, String more, long atUs) {
+        return finish(id, fencingToken, runs(id), offset, more, atUs);
+    }
+
+    private ResultCode finish(
+            String id, long fencingToken, long run, int offset, String more, long atUs) {
+        var out = new RecordWriter().i32(200).i32(offset).blob(bytes(more));
+        return take(new FinishJob(id, fencingToken, run, base64(out)), atUs);
+    }
+
+    private ResultCode giveBack(String id, long fencingToken, long run, long atUs) {
+        var out = new RecordWriter().u8(NOT_RUN).text("no room");
+        return take(new ReturnJob(id, fencingToken, run, base64(out)), atUs);
+    }
+
+    private int runs(String id) {
+        return state.jobs().find(id).map(job -> job.runs).orElse(0);
+    }
+
+    private Job.State stateOf(String id) {
+        return state.jobs().byId().get(id).state;
+    }
+
+    private String result(String id) {
+        return state.decide(StampedCommand.of(new GetJobResult(id))).text();
+    }
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static String base64(RecordWriter out) {
+        return Base64.getEncoder().encodeToString(out.bytes());
     }
 
     @Test
     void aFormerHolderCanNeitherStartNorFinish() {
-        duty("x");
+        grant("x");
         submit("j", true, "t");
-        assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000));
-        duty("y");
-        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "old"), 3000));
-        assertEquals(409, go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 3000));
-        assertEquals(200, go(ClusterState.Act.JOB_START, 2, "j", new RecordWriter(), 3000));
-        assertEquals(200, go(ClusterState.Act.JOB_DONE, 2, "j", done(0, "new"), 4000));
-        assertEquals(409, go(ClusterState.Act.JOB_DONE, 2, "j", done(0, "twice"), 4000));
-        assertEquals(
-                "new",
-                s.decide(new ClusterState.Change(ClusterState.Act.JOB_RESULT, 0, "j", "")).text);
+        assertEquals(ResultCode.OK, start("j", 1, 2000));
+        grant("y");
+        assertEquals(ResultCode.CONFLICT, finish("j", 1, 0, "old", 3000));
+        assertEquals(ResultCode.CONFLICT, start("j", 1, 3000));
+        assertEquals(ResultCode.OK, start("j", 2, 3000));
+        assertEquals(ResultCode.OK, finish("j", 2, 0, "new", 4000));
+        assertEquals(ResultCode.CONFLICT, finish("j", 2, 0, "twice", 4000));
+        assertEquals("new", result("j"));
     }
 
     @Test
     void whatMayHaveRunAndMayNotRunAgainBecomesUncertain() {
-        duty("x");
+        grant("x");
         submit("j", false, "t");
         submit("k", false, "t");
-        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
-        go(ClusterState.Act.JOB_START, 1, "k", new RecordWriter(), 2000);
-        go(ClusterState.Act.JOB_BACK, 1, "k", new RecordWriter().u8(0).text("no room"), 2500);
-        assertEquals(Job.State.WAITING, state("k"), "what did not run may wait again");
-        duty("y");
-        go(ClusterState.Act.JOB_START, 2, "j", new RecordWriter(), 3000);
-        assertEquals(Job.State.UNCERTAIN, state("j"));
+        start("j", 1, 2000);
+        start("k", 1, 2000);
+        giveBack("k", 1, runs("k"), 2500);
+        assertEquals(Job.State.WAITING, stateOf("k"), "what did not run may wait again");
+        grant("y");
+        start("j", 2, 3000);
+        assertEquals(Job.State.UNCERTAIN, stateOf("j"));
     }
 
     @Test
     void keptPiecesAreTakenOnceHoweverOftenTheyAreSent() {
-        duty("x");
+        grant("x");
         submit("j", true, "t");
-        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
-        assertEquals(200, go(ClusterState.Act.JOB_KEEP, 1, "j", kept("3", 0, "abc"), 2100));
-        assertEquals(200, go(ClusterState.Act.JOB_KEEP, 1, "j", kept("3", 0, "abc"), 2200));
-        assertEquals(409, go(ClusterState.Act.JOB_KEEP, 1, "j", kept("9", 1, "zz"), 2200));
-        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "def"), 2300));
-        assertEquals(200, go(ClusterState.Act.JOB_DONE, 1, "j", done(3, "def"), 2300));
-        assertEquals(
-                "abcdef",
-                s.decide(new ClusterState.Change(ClusterState.Act.JOB_RESULT, 0, "j", "")).text);
+        start("j", 1, 2000);
+        assertEquals(ResultCode.OK, append("j", 1, "3", 0, "abc", 2100));
+        assertEquals(ResultCode.OK, append("j", 1, "3", 0, "abc", 2200));
+        assertEquals(ResultCode.CONFLICT, append("j", 1, "9", 1, "zz", 2200));
+        assertEquals(ResultCode.CONFLICT, finish("j", 1, 0, "def", 2300));
+        assertEquals(ResultCode.OK, finish("j", 1, 3, "def", 2300));
+        assertEquals("abcdef", result("j"));
     }
 
     @Test
     void cancellingRacesCompletionToOneOutcome() {
-        duty("x");
+        grant("x");
         submit("j", true, "t");
         submit("k", true, "t");
-        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
-        go(ClusterState.Act.JOB_START, 1, "k", new RecordWriter(), 2000);
-        assertEquals(200, go(ClusterState.Act.JOB_CANCEL, 0, "j", new RecordWriter(), 2100));
-        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "x"), 2200));
-        assertEquals(Job.State.CANCELLED, state("j"));
-        go(ClusterState.Act.JOB_DONE, 1, "k", done(0, "x"), 2200);
-        assertEquals(409, go(ClusterState.Act.JOB_CANCEL, 0, "k", new RecordWriter(), 2300));
-        assertEquals(Job.State.DONE, state("k"));
+        start("j", 1, 2000);
+        start("k", 1, 2000);
+        assertEquals(ResultCode.OK, take(new CancelJob("j"), 2100));
+        assertEquals(ResultCode.CONFLICT, finish("j", 1, 0, "x", 2200));
+        assertEquals(Job.State.CANCELLED, stateOf("j"));
+        finish("k", 1, 0, "x", 2200);
+        assertEquals(ResultCode.CONFLICT, take(new CancelJob("k"), 2300));
+        assertEquals(Job.State.DONE, stateOf("k"));
     }
 
     @Test
     void aLateCopyOfARunnersWordNeverActsOnALaterRun() {
-        duty("x");
+        grant("x");
         submit("j", false, "t");
-        assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", 0, new RecordWriter(), 2000));
-        var back = new RecordWriter().u8(0).text("no room");
-        assertEquals(200, go(ClusterState.Act.JOB_BACK, 1, "j", 1, back, 2100));
-        assertEquals(
-                409,
-                go(ClusterState.Act.JOB_START, 1, "j", 0, new RecordWriter(), 2200),
-                "a copy of the first start");
-        assertEquals(Job.State.WAITING, state("j"));
-        assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", 1, new RecordWriter(), 2300));
+        assertEquals(ResultCode.OK, start("j", 1, 0, 2000));
+        assertEquals(ResultCode.OK, giveBack("j", 1, 1, 2100));
+        assertEquals(ResultCode.CONFLICT, start("j", 1, 0, 2200), "a copy of the first start");
+        assertEquals(Job.State.WAITING, stateOf("j"));
+        assertEquals(ResultCode.OK, start("j", 1, 1, 2300));
         assertEquals(
-                409,
-                go(ClusterState.Act.JOB_BACK, 1, "j", 1, back, 2400),
+                ResultCode.CONFLICT,
+                giveBack("j", 1, 1, 2400),
                 "a copy that gave the first run back");
-        assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", 1, done(0, "first"), 2400));
-        assertEquals(Job.State.RUNNING, state("j"), "what may not be repeated runs once at a time");
-        assertEquals(200, go(ClusterState.Act.JOB_DONE, 1, "j", 2, done(0, "second"), 2500));
+        assertEquals(ResultCode.CONFLICT, finish("j", 1, 1, 0, "first", 2400));
+        assertEquals(
+                Job.State.RUNNING, stateOf("j"), "what may not be repeated runs once at a time");
+        assertEquals(ResultCode.OK, finish("j", 1, 2, 0, "second", 2500));
     }
 
     @Test
     void limitsAreStated() {
-        for (var i = 0; i < JobTable.MOST_JOBS; i++) {
-            assertEquals(200, submit("n" + i, true, "t"));
+        for (var i = 0; i < JobTable.MAX_JOBS; i++) {
+            assertEquals(ResultCode.OK, submit("n" + i, true, "t"));
         }
-        assertEquals(429, submit("more", true, "t"));
-        assertEquals(200, submit("n5", true, "t"), "a known one is still known");
-        s = ClusterState.founded(List.of("a"));
-        assertEquals(413, submit("big", true, "x".repeat(JobTable.MOST_BODY + 1)));
+        assertEquals(ResultCode.LIMIT_REACHED, submit("more", true, "t"));
+        assertEquals(ResultCode.OK, submit("n5", true, "t"), "a known one is still known");
+        state = ClusterState.founded(List.of("a"));
+        assertEquals(
+                ResultCode.TOO_LARGE, submit("big", true, "x".repeat(JobTable.MAX_JOB_BYTES + 1)));
         var k = 0;
-        while (submit("b" + k, true, "x".repeat(JobTable.MOST_BODY - 10)) == 200) {
+        while (submit("b" + k, true, "x".repeat(JobTable.MAX_JOB_BYTES - 10)) == ResultCode.OK) {
             k++;
         }
-        assertEquals(JobTable.MOST_BYTES / JobTable.MOST_BODY, k);
+        assertEquals(JobTable.MAX_TABLE_BYTES / JobTable.MAX_JOB_BYTES, k);
     }
 
     @Test
     void theClockEndsWhatIsPastDueAndForgetsOldEnds() {
         submit("j", true, "t");
-        go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 59_000_000);
-        assertEquals(Job.State.WAITING, state("j"));
-        go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 70_000_000);
-        assertEquals(Job.State.EXPIRED, state("j"));
-        go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 5_000);
-        assertEquals(70_000_000, s.jobTable.clockUs, "the clock does not go back");
-        go(
-                ClusterState.Act.JOB_CLOCK,
-                0,
-                "",
-                new RecordWriter(),
-                80_000_000 + JobTable.RESULT_AGE_US);
-        assertTrue(s.jobTable.jobs.isEmpty());
+        take(new AdvanceJobClock(), 59_000_000);
+        assertEquals(Job.State.WAITING, stateOf("j"));
+        take(new AdvanceJobClock(), 70_000_000);
+        assertEquals(Job.State.EXPIRED, stateOf("j"));
+        take(new AdvanceJobClock(), 5_000);
+        assertEquals(70_000_000, state.jobs().clockUs(), "the clock does not go back");
+        take(new AdvanceJobClock(), 80_000_000 + JobTable.RETENTION_US);
+        assertTrue(state.jobs().byId().isEmpty());
     }
 
     @Test
@@ -207,9 +218,9 @@
 
     @Test
     void theStateReadsBackWithItsJobs() {
-        duty("x");
+        grant("x");
         submit("j", true, "t");
-        go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
-        assertArrayEquals(s.bytes(), ClusterState.of(s.bytes()).bytes());
+        start("j", 1, 2000);
+        assertArrayEquals(state.bytes(), ClusterState.of(state.bytes()).bytes());
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/Callers.java
+++ b/simulation/src/main/java/martenloom/simulation/Callers.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
 
 /**
  * The way of a caller to the machines: a call goes to any of them, and after a refusal or a silence
@@ -50,17 +50,17 @@
     }
 
     /** Calls until there is a clear answer; an empty one when the caller gives up. */
-    void call(ClusterState.Change change, Consumer<Optional<Answer>> done) {
+    void call(Command change, Consumer<Optional<Answer>> done) {
         new Call(change, done).attempt(1);
     }
 
     private final class Call {
-        private final ClusterState.Change change;
+        private final Command change;
         private final Consumer<Optional<Answer>> done;
         private boolean finished;
         private int current;
 
-        private Call(ClusterState.Change change, Consumer<Optional<Answer>> done) {
+        private Call(Command change, Consumer<Optional<Answer>> done) {
             this.change = change;
             this.done = done;
         }
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
@@ -47,38 +47,56 @@
     }
 
     void onCommitted(ClusterState state) {
-        if (state.revision == 0) {
+        if (state.configuration().revision() == 0) {
             return;
         }
-        var other = winnerOfRevision.putIfAbsent(state.revision, state.json);
+        var other =
+                winnerOfRevision.putIfAbsent(
+                        state.configuration().revision(), state.configuration().json());
         check(
-                other == null || other.equals(state.json),
+                other == null || other.equals(state.configuration().json()),
                 Invariant.ONE_WINNER,
-                "revision " + state.revision + " is taken by " + other + " and by " + state.json);
-        var order = sent.get(state.json);
+                "revision "
+                        + state.configuration().revision()
+                        + " is taken by "
+                        + other
+                        + " and by "
+                        + state.configuration().json());
+        var order = sent.get(state.configuration().json());
         check(
-                order != null && order.revision == state.revision,
+                order != null && order.revision == state.configuration().revision(),
                 Invariant.ONE_WINNER,
-                "nobody sent " + state.json + " as revision " + state.revision);
-        var rival = winnerOfBase.putIfAbsent(order.base, state.json);
+                "nobody sent "
+                        + state.configuration().json()
+                        + " as revision "
+                        + state.configuration().revision());
+        var rival = winnerOfBase.putIfAbsent(order.base, state.configuration().json());
         check(
-                rival == null || rival.equals(state.json),
+                rival == null || rival.equals(state.configuration().json()),
                 Invariant.ONE_WINNER,
-                "base " + order.base + " is taken by " + rival + " and by " + state.json);
+                "base "
+                        + order.base
+                        + " is taken by "
+                        + rival
+                        + " and by "
+                        + state.configuration().json());
         check(
-                !refused.contains(state.json),
+                !refused.contains(state.configuration().json()),
                 Invariant.REPEATABLE_ORDER,
-                "a refused configuration is committed: " + state.json);
+                "a refused configuration is committed: " + state.configuration().json());
     }
 
     /** Two neighbouring editions: the configuration moves on from its base, or stays. */
     void onNext(ClusterState before, ClusterState after) {
-        var moved = after.revision != before.revision;
-        var order = sent.get(after.json);
+        var moved = after.configuration().revision() != before.configuration().revision();
+        var order = sent.get(after.configuration().json());
         check(
-                !moved || order != null && order.base == before.revision,
+                !moved || order != null && order.base == before.configuration().revision(),
                 Invariant.ONE_WINNER,
-                "revision " + before.revision + " is followed by " + after.json);
+                "revision "
+                        + before.configuration().revision()
+                        + " is followed by "
+                        + after.configuration().json());
     }
 
     void onAcknowledged(Order order) {
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
@@ -1,7 +1,8 @@
 package martenloom.simulation;
 
 import java.util.Optional;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.ReadConfiguration;
+import martenloom.core.state.Command.ReplaceConfiguration;
 
 /**
  * Reads the configuration, replaces it, and at times sends an order again that was acknowledged
@@ -43,7 +44,7 @@
     private void read() {
         var floor = history.floor();
         callers.call(
-                new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
+                new ReadConfiguration(),
                 answer -> {
                     if (answer.isPresent()) {
                         next(history.onRead(answer.get().status(), answer.get().text(), floor));
@@ -95,8 +96,7 @@
 
     private void send(ConfigurationHistory.Order order) {
         var floor = history.floor();
-        var change =
-                new ClusterState.Change(ClusterState.Act.REPLACE, order.base(), "", order.body());
+        var change = new ReplaceConfiguration(order.base(), order.body());
         callers.call(change, answer -> onAnswer(order, floor, answer));
     }
 
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
@@ -1,6 +1,6 @@
 package martenloom.simulation;
 
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.ReadConfiguration;
 
 /** Reads the configuration again and again, from any member. */
 final class ConfigurationReader {
@@ -22,7 +22,7 @@
     void start() {
         var floor = history.floor();
         callers.call(
-                new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
+                new ReadConfiguration(),
                 answer -> {
                     answer.ifPresent(a -> history.onRead(a.status(), a.text(), floor));
                     agenda.after(random.between(0, LONGEST_PAUSE_US), this::start);
--- a/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
@@ -36,7 +36,7 @@
         z.settledBefore = z.acknowledged.isPresent();
         z.open = true;
         z.wanted = evacuated;
-        z.shown = newest.evacuated.contains(zone) == evacuated;
+        z.shown = newest.evacuations().zones().contains(zone) == evacuated;
         z.acknowledged = Optional.empty();
     }
 
@@ -44,7 +44,7 @@
         var z = zones.get(zone);
         z.open = false;
         z.acknowledged = Optional.of(evacuated);
-        z.editionAtAnswer = newest.edition;
+        z.editionAtAnswer = newest.edition();
         if (!z.shown) {
             throw new Violation(
                     Invariant.OWN_ANSWER,
@@ -54,7 +54,7 @@
                             + word(evacuated)
                             + ", which no edition shows");
         }
-        if (z.settledBefore && newest.evacuated.contains(zone) != evacuated) {
+        if (z.settledBefore && newest.evacuations().zones().contains(zone) != evacuated) {
             throw new Violation(
                     Invariant.NO_STALE_ORDER,
                     "zone "
@@ -62,7 +62,7 @@
                             + " is acknowledged as "
                             + word(evacuated)
                             + ", but edition "
-                            + newest.edition
+                            + newest.edition()
                             + " undoes it");
         }
     }
@@ -72,19 +72,19 @@
     }
 
     void onCommitted(ClusterState state) {
-        if (state.edition > newest.edition) {
+        if (state.edition() > newest.edition()) {
             newest = state;
         }
         zones.forEach((name, zone) -> check(name, zone, state));
     }
 
     private static void check(String name, Zone zone, ClusterState state) {
-        zone.shown |= state.evacuated.contains(name) == zone.wanted;
-        if (zone.open || zone.acknowledged.isEmpty() || state.edition <= zone.editionAtAnswer) {
+        zone.shown |= state.evacuations().zones().contains(name) == zone.wanted;
+        if (zone.open || zone.acknowledged.isEmpty() || state.edition() <= zone.editionAtAnswer) {
             return;
         }
         var wanted = zone.acknowledged.get();
-        if (state.evacuated.contains(name) != wanted) {
+        if (state.evacuations().zones().contains(name) != wanted) {
             throw new Violation(
                     Invariant.NO_STALE_ORDER,
                     "zone "
@@ -92,7 +92,7 @@
                             + " was acknowledged as "
                             + word(wanted)
                             + ", and edition "
-                            + state.edition
+                            + state.edition()
                             + " undoes it");
         }
     }
--- a/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
@@ -1,6 +1,7 @@
 package martenloom.simulation;
 
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.StartEvacuation;
 
 /** Evacuates one zone and brings it back, again and again. */
 final class EvacuationOperator {
@@ -30,10 +31,10 @@
     }
 
     private void order(boolean evacuate) {
-        var act = evacuate ? ClusterState.Act.EVAC_START : ClusterState.Act.EVAC_FINISH;
+        var order = evacuate ? new StartEvacuation(zone) : new FinishEvacuation(zone);
         history.onSent(zone, evacuate);
         callers.call(
-                new ClusterState.Change(act, 0, zone, ""),
+                order,
                 answer -> {
                     if (answer.isEmpty()) {
                         history.onGivenUp(zone);
--- a/simulation/src/main/java/martenloom/simulation/Invariants.java
+++ b/simulation/src/main/java/martenloom/simulation/Invariants.java
@@ -41,25 +41,25 @@
     }
 
     void committed(String address, ClusterState state) {
-        if (state.edition == 0) {
+        if (state.edition() == 0) {
             return;
         }
         var mine = state.bytes();
-        var known = bytes.putIfAbsent(state.edition, mine);
+        var known = bytes.putIfAbsent(state.edition(), mine);
         if (known == null) {
-            committed.put(state.edition, state);
+            committed.put(state.edition(), state);
             onNewEdition(state);
         } else if (!Arrays.equals(known, mine)) {
             throw new Violation(
                     Invariant.ONE_STATE_PER_EDITION,
-                    address + " commits another state under edition " + state.edition);
+                    address + " commits another state under edition " + state.edition());
         }
     }
 
     private void onNewEdition(ClusterState state) {
-        var before = committed.get(state.edition - 1);
+        var before = committed.get(state.edition() - 1);
         if (before != null) {
-            checkRosters(before.roster, state.roster);
+            checkRosters(before.roster().members(), state.roster().members());
             configurations.onNext(before, state);
             leases.onNext(before, state);
         }
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -36,8 +36,7 @@
      */
     void want(String key, String holder, long stampUs, Grantee grantee) {
         grantees.put(holder, grantee);
-        var held = Optional.ofNullable(process.chain().committed().duties.get(key));
-        if (held.isEmpty() || !held.get().holder.equals(holder)) {
+        if (!process.chain().committed().leases().isHeldBy(key, holder)) {
             if (process.nowUs() - passedOnUs.getOrDefault(key, 0L) < OTHERS_EVERY_US) {
                 return;
             }
@@ -68,7 +67,7 @@
         var key = in.text();
         var grant = in.i64();
         var stampUs = in.i64();
-        if (!process.chain().committed().overtaken(key, grant)) {
+        if (!process.chain().committed().leases().isSuperseded(key, grant)) {
             Optional.ofNullable(grantees.get(holder)).ifPresent(g -> g.granted(grant, stampUs));
         }
     }
--- a/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
@@ -45,19 +45,23 @@
      * Between two neighbouring editions a grant stays, or the next number goes to another holder.
      */
     void onNext(ClusterState before, ClusterState after) {
-        after.duties.forEach(
-                (key, duty) -> {
-                    var held = before.duties.get(key);
-                    var grant = held == null ? 0 : held.grant;
-                    var same = held != null && held.holder.equals(duty.holder);
-                    check(
-                            same ? duty.grant == grant : duty.grant == grant + 1,
-                            "%s: grant %s is followed by grant %s of %s",
-                            key,
-                            grant,
-                            duty.grant,
-                            duty.holder);
-                });
+        after.leases()
+                .byRole()
+                .forEach(
+                        (key, duty) -> {
+                            var held = before.leases().byRole().get(key);
+                            var grant = held == null ? 0 : held.fencingToken();
+                            var same = held != null && held.holder().equals(duty.holder());
+                            check(
+                                    same
+                                            ? duty.fencingToken() == grant
+                                            : duty.fencingToken() == grant + 1,
+                                    "%s: grant %s is followed by grant %s of %s",
+                                    key,
+                                    grant,
+                                    duty.fencingToken(),
+                                    duty.holder());
+                        });
     }
 
     private static void check(boolean holds, String seen, Object... arguments) {
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
@@ -8,7 +8,8 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
 import martenloom.core.chain.ChainMember;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The way of an order from the member that a caller reached to the head of the chain, and of the
@@ -27,7 +28,7 @@
         remote = new PendingRequests<>(life);
     }
 
-    void forward(ClusterState.Change change, Reply reply) {
+    void forward(StampedCommand change, Reply reply) {
         var chain = process.chain();
         if (chain.heading()) {
             askHere(change, reply);
@@ -41,13 +42,13 @@
         var id = remote.open(head.get(), reply::accept);
         var record = new RecordWriter(RecordType.ORDER_REQUEST);
         id.write(record);
-        change.write(record);
+        CommandCodec.write(record, change);
         head.get().send(record.bytes());
         process.after(PATIENCE_US, () -> remote.expire(id, "no answer from the head"));
     }
 
     /** Hands an order to the chain of this member. */
-    void askHere(ClusterState.Change change, Reply reply) {
+    void askHere(StampedCommand change, Reply reply) {
         var id = ++lastLocal;
         local.put(id, reply);
         process.chain().onAsk(process.nowUs(), id, change);
@@ -55,7 +56,7 @@
 
     void onChainAnswer(ChainMember.Answer answer) {
         Optional.ofNullable(local.remove(answer.request()))
-                .ifPresent(r -> r.accept(answer.status(), answer.text()));
+                .ifPresent(r -> r.accept(answer.code().number(), answer.text()));
     }
 
     void onClosed(SimulatedNetwork.Connection connection) {
@@ -64,7 +65,7 @@
 
     void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        askHere(ClusterState.Change.read(in), (status, text) -> answer(by, id, status, text));
+        askHere(CommandCodec.read(in), (status, text) -> answer(by, id, status, text));
     }
 
     private static void answer(
--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/Process.java
@@ -15,6 +15,11 @@
 import martenloom.core.chain.ChainMember;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import martenloom.core.storage.VersionedStore;
 
 /**
@@ -79,11 +84,15 @@
         duties =
                 new RoleLeaseService(
                         chain,
-                        (change, reply) -> orders.askHere(change, reply::accept),
+                        (change, reply) ->
+                                orders.askHere(
+                                        change,
+                                        (status, text) ->
+                                                reply.accept(ResultCode.ofNumber(status), text)),
                         this::nowUs);
         leases = new LeaseForwarder(this, duties);
         chain.onLeastRoster(environment.leastRoster());
-        kept.ifPresent(k -> k.state.roster.forEach(this::dial));
+        kept.ifPresent(k -> k.state.roster().members().forEach(this::dial));
         seeds.forEach(this::dial);
         after(environment.disks().between(0, TICK_US), this::tick);
         after(environment.disks().between(0, HELLO_US), this::hello);
@@ -146,7 +155,7 @@
     }
 
     private void tick() {
-        dials.addAll(chain.committed().roster);
+        dials.addAll(chain.committed().roster().members());
         dials.remove(address());
         environment.network().maintain(this, dials);
         chain.onKnown(dials);
@@ -188,7 +197,7 @@
 
     /** The roster and who is reached beside it. */
     private Set<String> members() {
-        var members = new TreeSet<>(chain.committed().roster);
+        var members = new TreeSet<>(chain.committed().roster().members());
         dials.stream().filter(d -> connection(d).isPresent()).forEach(members::add);
         members.add(address());
         return members;
@@ -221,8 +230,8 @@
             return;
         }
         var urgent = nowUs() - leaveSinceUs >= LEAVE_URGENT_US;
-        var urgency = urgent ? ClusterState.LEAVE_NOW : ClusterState.LEAVE_SOON;
-        var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, address(), "");
+        var urgency = urgent ? Urgency.IMMEDIATE : Urgency.CAN_WAIT;
+        var order = StampedCommand.of(new MarkDeparting(address(), urgency));
         orders.forward(order, (status, text) -> leaveTaken |= status == 200);
         after(LEAVE_AGAIN_US, () -> leaveStep(end));
     }
@@ -238,7 +247,7 @@
      * An order of a caller, as the control API takes it: tried again for a while when there is no
      * head.
      */
-    void onOrder(ClusterState.Change change, Reply reply) {
+    void onOrder(Command change, Reply reply) {
         if (leaving) {
             reply.accept(Reply.UNAVAILABLE, "this daemon is leaving");
             return;
@@ -246,14 +255,14 @@
         order(chain.committed().accepted(change), nowUs(), reply);
     }
 
-    private void order(ClusterState.Change change, long sinceUs, Reply reply) {
+    private void order(StampedCommand change, long sinceUs, Reply reply) {
         orders.forward(
                 change,
                 (status, text) -> {
                     if (status == Reply.UNAVAILABLE && nowUs() - sinceUs < API_PATIENCE_US) {
                         after(API_PAUSE_US, () -> order(change, sinceUs, reply));
                     } else {
-                        var unclear = status == ClusterState.STALE_ORDER;
+                        var unclear = status == ResultCode.STALE_ORDER.number();
                         reply.accept(unclear ? Reply.UNAVAILABLE : status, text);
                     }
                 });
@@ -292,7 +301,7 @@
                 beginStore();
             }
         } else if (command instanceof ChainMember.Answer answer) {
-            if (answer.status() == 200) {
+            if (answer.code() == ResultCode.OK) {
                 environment.invariants().acknowledged(chain.view(), address(), startedUs);
             }
             orders.onChainAnswer(answer);
--- a/simulation/src/main/java/martenloom/simulation/World.java
+++ b/simulation/src/main/java/martenloom/simulation/World.java
@@ -137,7 +137,7 @@
         var chain = process.chain();
         return chain.heading()
                 && chain.chain().size() == schedule.members()
-                && chain.committed().roster.size() == schedule.members();
+                && chain.committed().roster().members().size() == schedule.members();
     }
 
     private void runUntil(long timeUs) {
@@ -215,7 +215,7 @@
 
     private void checkLevel() {
         for (var address : slots) {
-            var edition = running(address).map(p -> p.chain().committed().edition).orElse(0L);
+            var edition = running(address).map(p -> p.chain().committed().edition()).orElse(0L);
             if (edition < newestBeforeLag) {
                 throw new Violation(
                         Invariant.LEVEL,
@@ -242,9 +242,9 @@
                                         .append(" view ")
                                         .append(p.chain().view())
                                         .append(" edition ")
-                                        .append(p.chain().committed().edition)
+                                        .append(p.chain().committed().edition())
                                         .append(" roster ")
-                                        .append(p.chain().memberState().state.roster)
+                                        .append(p.chain().memberState().state.roster().members())
                                         .append("; "));
         return text.toString();
     }
--- a/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
+++ b/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
@@ -5,8 +5,11 @@
 
 import java.util.List;
 import martenloom.core.state.ClusterState;
-import martenloom.core.state.ClusterState.Act;
-import martenloom.core.state.ClusterState.Change;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.StartEvacuation;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
@@ -33,12 +36,12 @@
         return new ConfigurationHistory.Order(base, revision, body);
     }
 
-    private void commit(Change change) {
-        state = state.decide(state.accepted(change)).next.orElseThrow();
+    private void commit(Command command) {
+        state = state.decide(state.accepted(command)).next().orElseThrow();
     }
 
     private void commit(ConfigurationHistory.Order order) {
-        commit(new Change(Act.REPLACE, order.base(), "", order.body()));
+        commit(new ReplaceConfiguration(order.base(), order.body()));
         configurations.onCommitted(state);
     }
 
@@ -78,14 +81,14 @@
     @Test
     void aCopyThatUndoesAnAcknowledgedOrderIsNamed() {
         evacuations.onSent(ZONE, true);
-        commit(new Change(Act.EVAC_START, 0, ZONE, ""));
+        commit(new StartEvacuation(ZONE));
         evacuations.onCommitted(state);
         evacuations.onAcknowledged(ZONE, true);
         evacuations.onSent(ZONE, false);
-        commit(new Change(Act.EVAC_FINISH, 0, ZONE, ""));
+        commit(new FinishEvacuation(ZONE));
         evacuations.onCommitted(state);
         evacuations.onAcknowledged(ZONE, false);
-        commit(new Change(Act.EVAC_START, 0, ZONE, ""));
+        commit(new StartEvacuation(ZONE));
         breaks(Invariant.NO_STALE_ORDER, () -> evacuations.onCommitted(state));
     }
 
@@ -96,7 +99,7 @@
         breaks(Invariant.FENCED_LEASE, () -> leases.onGranted("k", "y", 2, 2_000_000, 2_000_010));
         leases.onGranted("k", "y", 2, 4_000_000, 4_000_010);
         var before = state;
-        commit(new Change(Act.DUTY, 0, "k", "x"));
+        commit(new GrantLease("k", 0, "x"));
         leases.onNext(before, state);
         breaks(
                 Invariant.FENCED_LEASE,
@@ -104,7 +107,7 @@
     }
 
     private ClusterState twice() {
-        commit(new Change(Act.DUTY, 1, "k", "y"));
+        commit(new GrantLease("k", 1, "y"));
         return state;
     }
 }
