--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -41,6 +41,7 @@
 import martenloom.core.registry.RegistryCheckpoint;
 import martenloom.core.registry.ReplicaUpdatePublisher;
 import martenloom.core.state.ClusterState;
+import martenloom.core.storage.StorageFolder;
 import martenloom.core.storage.VersionedStore;
 import martenloom.core.warmup.WarmupPermitLender;
 
@@ -87,7 +88,7 @@
     private final EdgeLeaseRenewals renewals;
     private final ShellQueries shellQueries;
 
-    public CoreDaemon(Settings settings, Eventloop loop, VersionedStore.Folder folder) {
+    public CoreDaemon(Settings settings, Eventloop loop, StorageFolder folder) {
         var startUs = Clocks.nowUs();
         this.settings = settings;
         this.loop = loop;
@@ -126,9 +127,9 @@
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
     private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
         var disk = onDisk;
-        if (disk.isEmpty() && !store.damaged() && settings.bootstrap && founder()) {
+        if (disk.isEmpty() && !store.isDamaged() && settings.bootstrap && founder()) {
             disk = Optional.of(founded());
-            store.keep(disk.get().bytes());
+            store.write(disk.get().bytes());
         }
         RingLog.note(
                 "core "
@@ -137,7 +138,7 @@
                         + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
         var life = new SecureRandom().nextLong();
         var core = new ChainMember(settings.ip, life, disk, nearness(), Clocks.nowUs());
-        core.onAway(store.awayUs());
+        core.onAway(store.downtimeUs());
         core.onLeastRoster(2 * Math.max(1, settings.tolerateMachines) + 1);
         return core;
     }
@@ -174,7 +175,7 @@
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
         Clocks.every(loop, DIGEST_US, this::mend);
-        Clocks.every(loop, SUM_US, loads::exchange);
+        Clocks.every(loop, SUM_US, loads::publish);
         RingLog.say("core " + settings.name + " ready at " + settings.need("ControlPlane"));
     }
 
@@ -286,7 +287,7 @@
 
     private void keep(ChainMember.Store write) {
         loop.startExternalTask();
-        store.keepLater(
+        store.writeAsync(
                 () -> write.memberState().bytes(),
                 () -> {
                     loop.execute(() -> onStored(write.token()));
@@ -331,7 +332,7 @@
             case RecordType.ORDER_REQUEST -> orders.onOrder(link, in);
             case RecordType.ORDER_RESPONSE -> peerRequests.onAnswer(link, in);
             case RecordType.EDGE_LEASE_RENEWAL -> renewals.onRenew(link, in, Clocks.nowUs());
-            case RecordType.LOAD_SAMPLE -> loads.onSample(in);
+            case RecordType.LOAD_SAMPLE -> loads.onEdgeSample(in);
             case RecordType.HOME_LOAD -> loads.onHomeSum(in);
             case RecordType.OVERLOAD_REPORT -> dutyRelay.onReport(link, record, in);
             case RecordType.RESYNC_REQUEST -> renewals.onResync(link, Clocks.nowUs());
@@ -358,6 +359,6 @@
 
     private void edgeLost(String edgeIp) {
         configurations.forget(edgeIp);
-        loads.edgeLost(edgeIp);
+        loads.removeEdge(edgeIp);
     }
 }
--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
@@ -65,7 +65,7 @@
                 .i32(registry.members(now).size())
                 .texts(peers.reachable())
                 .flag(regionJobs.anyLive(edge.region))
-                .i64(WarmupPermits.LEASE_US)
+                .i64(WarmupPermits.PERMIT_US)
                 .list(
                         coldSends.lend(edge, coldReplicas, now).entrySet(),
                         (out, lent) -> out.text(lent.getKey()).i32(lent.getValue()))
--- a/core/src/main/java/martenloom/core/load/LoadPublisher.java
+++ b/core/src/main/java/martenloom/core/load/LoadPublisher.java
@@ -1,7 +1,7 @@
 package martenloom.core.load;
 
 import java.security.SecureRandom;
-import java.util.List;
+import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
@@ -10,106 +10,119 @@
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
 import martenloom.core.edge.EdgeLinks;
+import martenloom.core.load.PrefixLocations.Audience;
 import martenloom.core.peer.CorePeerLinks;
 
 /**
- * Exchanges sums of load: takes the samples of the edges of this home, gives their sum to the other
- * homes, those of our region more often than the others, and gives the sum over all homes to the
- * edges. Runs on the reactor thread.
+ * Exchanges load summaries: takes the samples of the edges of this home, sends their sum to the
+ * other homes, to those of the own region more often than to the rest, and sends the total over all
+ * homes to the edges. Runs on the reactor thread.
  */
 public final class LoadPublisher {
-    private static final int FAR_TURNS = 5;
-    private static final int QUIET_TURNS = 5;
+    /** The homes of other regions get the sum once in so many rounds. */
+    private static final int ROUNDS_BETWEEN_REGIONS = 5;
+
+    /** The edges get an unchanged total once in so many rounds. */
+    private static final int ROUNDS_UNCHANGED = 5;
+
+    private static final long NEVER_SENT = -1;
 
     private final Settings settings;
     private final CorePeerLinks peers;
-    private final EdgeLinks homes;
+    private final EdgeLinks edges;
     private final LoadAggregator aggregator = new LoadAggregator();
-    private final long life = new SecureRandom().nextLong();
-    private long turns;
-    private long toldVersion = -1;
+    private final PrefixLocations prefixLocations = new PrefixLocations();
+    private final long incarnation = new SecureRandom().nextLong();
+    private long round;
+    private long sentVersion = NEVER_SENT;
 
-    public LoadPublisher(Settings settings, CorePeerLinks peers, EdgeLinks homes) {
+    /** Publishes nothing until {@link #publish} is called. */
+    public LoadPublisher(Settings settings, CorePeerLinks peers, EdgeLinks edges) {
         this.settings = settings;
         this.peers = peers;
-        this.homes = homes;
+        this.edges = edges;
     }
 
-    /** One turn: sends our sum to the homes, and the whole sum to our edges if it has changed. */
-    public void exchange() {
-        var now = Clocks.nowUs();
-        turns++;
-        var own = aggregator.own(now);
-        sendToPeers(peers::ofOurRegion, LoadAggregator.Way.REGION, own);
-        if (turns % FAR_TURNS == 0) {
-            sendToPeers(ip -> !peers.ofOurRegion(ip), LoadAggregator.Way.FAR, own);
+    /** One round: sends our sum to the homes, and the total to our edges if it has changed. */
+    public void publish() {
+        var nowUs = Clocks.nowUs();
+        round++;
+        var ownSum = aggregator.ownSum(nowUs);
+        sendToHomes(peers::isInOwnRegion, Audience.HOMES_IN_REGION, ownSum);
+        if (round % ROUNDS_BETWEEN_REGIONS == 0) {
+            sendToHomes(ip -> !peers.isInOwnRegion(ip), Audience.HOMES_ELSEWHERE, ownSum);
         }
-        var quiet = turns % QUIET_TURNS == 0;
-        if (quiet || aggregator.version() != toldVersion || aggregator.hasPlaces()) {
-            sendToEdges(own, now);
+        if (round % ROUNDS_UNCHANGED == 0
+                || aggregator.version() != sentVersion
+                || prefixLocations.isPendingForEdges()) {
+            sendToEdges(ownSum, nowUs);
         }
     }
 
-    private void sendToPeers(Predicate<String> which, LoadAggregator.Way way, LoadSummary own) {
-        List<String> receivers = peers.dialed().stream().filter(which).toList();
-        if (receivers.isEmpty()) {
+    private void sendToHomes(Predicate<String> receivers, Audience audience, LoadSummary ownSum) {
+        var homes = peers.dialed().stream().filter(receivers).toList();
+        if (homes.isEmpty()) {
             return;
         }
-        var out = new RecordWriter(RecordType.HOME_LOAD).text(settings.ip).i64(life).i64(turns);
-        own.write(out);
-        aggregator.writePlaces(out, way);
+        var out =
+                new RecordWriter(RecordType.HOME_LOAD)
+                        .text(settings.ip)
+                        .i64(incarnation)
+                        .i64(round);
+        ownSum.write(out);
+        prefixLocations.drainTo(out, audience);
         var record = out.bytes();
-        receivers.forEach(ip -> peers.send(ip, record));
+        homes.forEach(ip -> peers.send(ip, record));
     }
 
-    private void sendToEdges(LoadSummary own, long now) {
-        toldVersion = aggregator.version();
-        var out = aggregator.whole(own, now).write(new RecordWriter());
-        aggregator.writePlaces(out, LoadAggregator.Way.EDGES);
-        own.doubtful().write(out);
-        var sum = out.bytes();
-        homes.forEach((edgeIp, link) -> link.send(wholeSum(edgeIp, sum)));
+    private void sendToEdges(LoadSummary ownSum, long nowUs) {
+        sentVersion = aggregator.version();
+        var out = aggregator.total(ownSum, nowUs).write(new RecordWriter());
+        prefixLocations.drainTo(out, Audience.EDGES);
+        ownSum.doubtful().write(out);
+        var total = out.bytes();
+        edges.forEach((edgeIp, link) -> link.send(totalLoad(edgeIp, total)));
     }
 
-    private byte[] wholeSum(String edgeIp, byte[] sum) {
+    private byte[] totalLoad(String edgeIp, byte[] total) {
         return new RecordWriter(RecordType.TOTAL_LOAD)
-                .i64(aggregator.seqOf(edgeIp))
-                .raw(sum)
+                .i64(aggregator.sequenceOf(edgeIp))
+                .raw(total)
                 .bytes();
     }
 
-    /** The load of an edge. */
-    public void onSample(RecordReader in) {
+    /** The load of an edge of this home. */
+    public void onEdgeSample(RecordReader in) {
         var edgeIp = in.text();
-        var edgeLife = in.i64();
+        var edgeIncarnation = in.i64();
         var sequence = in.i64();
         var sample = LoadSummary.read(in);
-        if (aggregator.take(edgeIp, edgeLife, sequence, sample, Clocks.nowUs())) {
-            takePlaces(in, true);
+        if (aggregator.acceptEdge(edgeIp, edgeIncarnation, sequence, sample, Clocks.nowUs())) {
+            readPrefixLocations(in, prefixLocations::addFromEdge);
         }
     }
 
-    /** The sum of the edges of another home. */
+    /** The sum over the edges of another home. */
     public void onHomeSum(RecordReader in) {
         var homeIp = in.text();
-        var homeLife = in.i64();
+        var homeIncarnation = in.i64();
         var sequence = in.i64();
         var sum = LoadSummary.read(in);
-        if (aggregator.takeHome(homeIp, homeLife, sequence, sum, Clocks.nowUs())) {
-            takePlaces(in, false);
+        if (aggregator.acceptHome(homeIp, homeIncarnation, sequence, sum, Clocks.nowUs())) {
+            readPrefixLocations(in, prefixLocations::addFromHome);
         }
     }
 
-    private void takePlaces(RecordReader in, boolean fromEdge) {
+    private static void readPrefixLocations(RecordReader in, BiConsumer<String, String> add) {
         in.list(
-                place -> {
-                    aggregator.place(place.text(), place.text(), fromEdge);
+                location -> {
+                    add.accept(location.text(), location.text());
                     return 0;
                 });
     }
 
-    /** An edge has left this home; its last sample no longer counts. */
-    public void edgeLost(String edgeIp) {
-        aggregator.lapse(edgeIp);
+    /** An edge is no longer subscribed to this home: its last sample counts no more. */
+    public void removeEdge(String edgeIp) {
+        aggregator.removeEdge(edgeIp);
     }
 }
--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -178,7 +178,7 @@
     // ---- regions
 
     /** Whether a peer has made itself known as one of our region. */
-    public boolean ofOurRegion(String ip) {
+    public boolean isInOwnRegion(String ip) {
         return settings.region.equals(regions.getOrDefault(ip, ""));
     }
 
@@ -186,7 +186,7 @@
     public int homesInRegion() {
         var others =
                 regions.keySet().stream()
-                        .filter(ip -> ofOurRegion(ip) && !ip.equals(settings.ip))
+                        .filter(ip -> isInOwnRegion(ip) && !ip.equals(settings.ip))
                         .count();
         return 1 + (int) others;
     }
--- a/core/src/main/java/martenloom/core/registry/QuorumAcknowledgement.java
+++ b/core/src/main/java/martenloom/core/registry/QuorumAcknowledgement.java
@@ -6,31 +6,32 @@
 import java.util.function.Consumer;
 
 /**
- * Waits until a majority of the roster has confirmed one piece of news, and tells the outcome once:
- * true as soon as a majority has it, false when the time is up before.
+ * Waits until a majority of the roster has acknowledged one update. The outcome is reported exactly
+ * once: true as soon as the majority is reached, false when the timeout comes first. Runs on the
+ * reactor thread.
  */
 public final class QuorumAcknowledgement {
     private final Set<String> roster;
-    private final Set<String> received = new TreeSet<>();
+    private final Set<String> acknowledgedBy = new TreeSet<>();
     private final Consumer<Boolean> outcome;
     private boolean decided;
 
-    /** Counts nobody yet; the sender counts as a receiver only when it confirms to itself. */
+    /** Nobody has acknowledged yet, not even the sender; it does so like the other members. */
     public QuorumAcknowledgement(Collection<String> roster, Consumer<Boolean> outcome) {
         this.roster = Set.copyOf(roster);
         this.outcome = outcome;
     }
 
-    /** A member has the news; one that is not on the roster does not count. */
-    public void receivedBy(String member) {
+    /** A daemon has the update; one that is not on the roster does not count. */
+    public void acknowledgedBy(String member) {
         if (roster.contains(member)
-                && received.add(member)
-                && received.size() * 2 > roster.size()) {
+                && acknowledgedBy.add(member)
+                && acknowledgedBy.size() * 2 > roster.size()) {
             decide(true);
         }
     }
 
-    /** The time is up. */
+    /** No acknowledgement counts from now on. */
     public void timedOut() {
         decide(false);
     }
--- a/core/src/main/java/martenloom/core/registry/RegistryCheckpoint.java
+++ b/core/src/main/java/martenloom/core/registry/RegistryCheckpoint.java
@@ -28,7 +28,7 @@
         this.store = store;
         this.registry = registry;
         var coldUs = settings.beatMs * 2000L;
-        var replicas = store.note(NOTE).map(note -> restore(note, coldUs)).orElse(0);
+        var replicas = store.readCheckpoint(NOTE).map(note -> restore(note, coldUs)).orElse(0);
         restored = replicas > 0;
         RingLog.note("replicas remembered: " + replicas);
     }
@@ -72,7 +72,7 @@
         var digest = (registry.noteDigest() * 31 + mostEdges) * 31 + mostHomes;
         if (digest != writtenDigest) {
             writtenDigest = digest;
-            store.noteLater(NOTE, registry.memo(mostEdges, mostHomes, Clocks.nowUs()));
+            store.writeCheckpointAsync(NOTE, registry.memo(mostEdges, mostHomes, Clocks.nowUs()));
         }
     }
 }
--- a/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
+++ b/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
@@ -77,11 +77,11 @@
         var sent = new ArrayList<PendingRequests.RequestId>();
         for (var member : roster) {
             peers.link(member)
-                    .map(link -> sendConfirmed(link, rows, () -> receipt.receivedBy(member)))
+                    .map(link -> sendConfirmed(link, rows, () -> receipt.acknowledgedBy(member)))
                     .ifPresent(sent::add);
         }
         flood();
-        receipt.receivedBy(settings.ip);
+        receipt.acknowledgedBy(settings.ip);
         Clocks.after(
                 loop,
                 CONFIRM_US,
--- a/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
+++ b/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
@@ -93,6 +93,6 @@
     }
 
     public void sweep(long now) {
-        leases.sweep(now);
+        leases.removeExpired(now);
     }
 }
--- a/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
@@ -19,6 +19,7 @@
 import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.core.storage.VersionedStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -97,13 +98,13 @@
 
     /** Each file by its name as it is kept in the folder, with the fixed time. */
     private static Map<String, byte[]> writtenInto(Path folder) {
-        var real = new VersionedStore.RealFolder(folder.toString());
+        var real = new FileSystemFolder(folder.toString());
         var store = new VersionedStore(real);
         store.load();
         var files = new LinkedHashMap<String, byte[]>();
         for (var version : versions()) {
             var fromMs = System.currentTimeMillis();
-            store.keep(version.bytes());
+            store.write(version.bytes());
             assertEquals(1, real.names().size(), "older versions are removed");
             var name = real.names().get(0);
             var file = real.read(name);
@@ -111,7 +112,7 @@
             assertTrue(timeMs >= fromMs && timeMs <= System.currentTimeMillis(), "time " + timeMs);
             files.put(name, withFixedTime(file));
         }
-        store.noteLater(NOTE, note());
+        store.writeCheckpointAsync(NOTE, note());
         store.flush(FLUSH_MS);
         assertEquals(List.of(THIRD, NOTE), real.names());
         files.put(NOTE, withFixedTime(real.read(NOTE)));
@@ -135,11 +136,11 @@
         for (var file : GoldenFile.read(fileName).entrySet()) {
             Files.write(folder.resolve(file.getKey()), file.getValue());
         }
-        return new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
+        return new VersionedStore(new FileSystemFolder(folder.toString()));
     }
 
     private List<String> names() {
-        return new VersionedStore.RealFolder(folder.toString()).names();
+        return new FileSystemFolder(folder.toString()).names();
     }
 
     private static byte[] content(byte[] file) {
@@ -166,10 +167,10 @@
         for (var i = 0; i < names.size(); i++) {
             var alone = Files.createDirectory(folder.resolve("alone-" + i));
             Files.write(alone.resolve(names.get(i)), recorded.get(names.get(i)));
-            var store = new VersionedStore(new VersionedStore.RealFolder(alone.toString()));
+            var store = new VersionedStore(new FileSystemFolder(alone.toString()));
             assertState(versions().get(i), store.load());
-            assertFalse(store.damaged());
-            assertEquals(TEN_MINUTES_US, store.awayUs());
+            assertFalse(store.isDamaged());
+            assertEquals(TEN_MINUTES_US, store.downtimeUs());
         }
     }
 
@@ -178,11 +179,11 @@
     void theNewestOfSeveralVersionsIsFoundAndTheOthersAreRemoved() throws IOException {
         var store = recorded(KILLED);
         assertState(versions().get(2), store.load());
-        assertFalse(store.damaged());
+        assertFalse(store.isDamaged());
         assertEquals(List.of(THIRD, FOURTH + ".aside", NOTE), names());
         var recordedNote = content(GoldenFile.read(WRITTEN).get(NOTE));
-        GoldenFile.assertSameBytes(NOTE, recordedNote, store.note(NOTE).orElseThrow());
-        store.keep(versions().get(0).bytes());
+        GoldenFile.assertSameBytes(NOTE, recordedNote, store.readCheckpoint(NOTE).orElseThrow());
+        store.write(versions().get(0).bytes());
         assertEquals(List.of(FOURTH, NOTE), names());
     }
 
@@ -190,25 +191,25 @@
     void aTornNewestVersionIsALostDiskWhoseNoteIsStillRead() throws IOException {
         var store = recorded(TORN);
         assertTrue(store.load().isEmpty());
-        assertTrue(store.damaged());
-        assertEquals(0, store.awayUs());
+        assertTrue(store.isDamaged());
+        assertEquals(0, store.downtimeUs());
         assertEquals(List.of(SECOND, THIRD, NOTE), names(), "nothing is removed");
         var recordedNote = content(GoldenFile.read(WRITTEN).get(NOTE));
-        GoldenFile.assertSameBytes(NOTE, recordedNote, store.note(NOTE).orElseThrow());
-        store.keep(versions().get(2).bytes());
+        GoldenFile.assertSameBytes(NOTE, recordedNote, store.readCheckpoint(NOTE).orElseThrow());
+        store.write(versions().get(2).bytes());
         assertEquals(List.of(FOURTH, NOTE), names());
-        var healed = new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
+        var healed = new VersionedStore(new FileSystemFolder(folder.toString()));
         assertState(versions().get(2), healed.load());
-        assertFalse(healed.damaged());
+        assertFalse(healed.isDamaged());
     }
 
     @Test
     void aMissingVersionIsALostDiskAndATornNoteIsNone() throws IOException {
         var store = recorded(MISSING);
         assertTrue(store.load().isEmpty());
-        assertTrue(store.damaged());
-        assertTrue(store.note(NOTE).isEmpty());
-        store.keep(versions().get(2).bytes());
+        assertTrue(store.isDamaged());
+        assertTrue(store.readCheckpoint(NOTE).isEmpty());
+        store.write(versions().get(2).bytes());
         assertEquals(List.of(FOURTH, NOTE), names());
     }
 }
--- a/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
+++ b/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
@@ -4,20 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.load.LoadSummary;
 import org.junit.jupiter.api.Test;
 
 /**
- * Parts of edges add up once each; what is late, repeated, of a former life or lapsed does not
- * count.
+ * Samples of edges add up once each; one that is late, repeated, of a former incarnation or lapsed
+ * does not count.
  */
 final class LoadAggregatorTest {
-    private final LoadAggregator d = new LoadAggregator();
+    private final LoadAggregator aggregator = new LoadAggregator();
 
-    private static LoadSummary part(int inHand, int flights) {
+    private static LoadSummary sample(int inHand, int flights) {
         var t = LoadSummary.ofEdge();
         t.put("r", inHand, inHand * 100, false);
         for (var i = 0; i < flights; i++) {
@@ -26,61 +25,55 @@
         return t;
     }
 
-    private int whole(long now) {
-        return d.whole(d.own(now), now).load("r").inHand;
+    private int total(long now) {
+        return aggregator.total(aggregator.ownSum(now), now).load("r").inHand;
     }
 
     @Test
-    void partsAddUpAndComeBackWhole() {
-        assertTrue(d.take("e1", 1, 1, part(3, 4), 0));
-        assertTrue(d.take("e2", 9, 1, part(2, 1), 0));
-        assertTrue(d.takeHome("h2", 5, 1, new LoadSummary().add(part(5, 2)).add(part(1, 1)), 0));
+    void samplesAddUpAndComeBackAsATotal() {
+        assertTrue(aggregator.acceptEdge("e1", 1, 1, sample(3, 4), 0));
+        assertTrue(aggregator.acceptEdge("e2", 9, 1, sample(2, 1), 0));
+        assertTrue(
+                aggregator.acceptHome(
+                        "h2", 5, 1, new LoadSummary().add(sample(5, 2)).add(sample(1, 1)), 0));
         var w =
                 LoadSummary.read(
                         new RecordReader(
-                                d.whole(d.own(0), 0).write(new RecordWriter()).bytes(), false));
+                                aggregator
+                                        .total(aggregator.ownSum(0), 0)
+                                        .write(new RecordWriter())
+                                        .bytes(),
+                                false));
         assertEquals(11, w.load("r").inHand);
         assertEquals(1100, w.load("r").unread);
         assertEquals(8, w.flights().get("north/m"));
         assertEquals(4, w.edges());
-        assertEquals(8, w.less(part(3, 4)).load("r").inHand, "an edge takes its own part away");
+        assertEquals(8, w.less(sample(3, 4)).load("r").inHand, "an edge takes its own part away");
     }
 
     @Test
-    void lateRepeatedAndFormerLivesAreIgnored() {
-        assertTrue(d.take("e1", 1, 2, part(3, 0), 0));
-        assertFalse(d.take("e1", 1, 2, part(9, 0), 0));
-        assertFalse(d.take("e1", 1, 1, part(9, 0), 0));
-        assertTrue(d.take("e1", 2, 1, part(4, 0), 0));
-        assertFalse(d.take("e1", 1, 3, part(9, 0), 0), "a former life");
-        assertEquals(4, whole(0));
-        assertEquals(1, d.seqOf("e1"));
+    void lateAndRepeatedSamplesAndThoseOfFormerIncarnationsAreRejected() {
+        assertTrue(aggregator.acceptEdge("e1", 1, 2, sample(3, 0), 0));
+        assertFalse(aggregator.acceptEdge("e1", 1, 2, sample(9, 0), 0));
+        assertFalse(aggregator.acceptEdge("e1", 1, 1, sample(9, 0), 0));
+        assertTrue(aggregator.acceptEdge("e1", 2, 1, sample(4, 0), 0));
+        assertFalse(aggregator.acceptEdge("e1", 1, 3, sample(9, 0), 0), "a former incarnation");
+        assertEquals(4, total(0));
+        assertEquals(1, aggregator.sequenceOf("e1"));
     }
 
     @Test
-    void partsLapse() {
-        d.take("e1", 1, 1, part(3, 0), 0);
-        d.take("e2", 1, 1, part(2, 0), 1_500_000);
-        d.takeHome("h2", 1, 1, part(7, 0), 1_500_000);
-        assertEquals(12, whole(1_900_000));
-        assertEquals(9, whole(2_500_000), "the first edge was not heard");
-        assertEquals(2, whole(3_100_000), "the peer home neither");
-        d.lapse("e2");
-        assertEquals(0, whole(3_100_000));
-        assertTrue(d.take("e2", 1, 2, part(2, 0), 3_200_000), "the same life may come back");
-    }
-
-    @Test
-    void placesGoEachWayOnceAndOnlyOwnOnesGoOn() {
-        d.place("p1", "r1", true);
-        d.place("p2", "r2", false);
-        for (var w : LoadAggregator.Way.values()) {
-            var o = new RecordWriter();
-            d.writePlaces(o, w);
-            var l = new RecordReader(o.bytes(), false).list(x -> x.text() + x.text());
-            assertEquals(
-                    w == LoadAggregator.Way.EDGES ? List.of("p1r1", "p2r2") : List.of("p1r1"), l);
-        }
-        assertFalse(d.hasPlaces());
+    void samplesLapse() {
+        aggregator.acceptEdge("e1", 1, 1, sample(3, 0), 0);
+        aggregator.acceptEdge("e2", 1, 1, sample(2, 0), 1_500_000);
+        aggregator.acceptHome("h2", 1, 1, sample(7, 0), 1_500_000);
+        assertEquals(12, total(1_900_000));
+        assertEquals(9, total(2_500_000), "the first edge was not heard");
+        assertEquals(2, total(3_100_000), "the peer home neither");
+        aggregator.removeEdge("e2");
+        assertEquals(0, total(3_100_000));
+        assertTrue(
+                aggregator.acceptEdge("e2", 1, 2, sample(2, 0), 3_200_000),
+                "the same incarnation may come back");
     }
 }
--- a/core/src/test/java/martenloom/core/registry/QuorumAcknowledgementTest.java
+++ b/core/src/test/java/martenloom/core/registry/QuorumAcknowledgementTest.java
@@ -13,13 +13,13 @@
     @Test
     void aMajorityOfTheRosterDecidesOnce() {
         var receipt = new QuorumAcknowledgement(List.of("a", "b", "c", "d"), told::add);
-        receipt.receivedBy("a");
-        receipt.receivedBy("b");
-        receipt.receivedBy("b");
-        receipt.receivedBy("stranger");
+        receipt.acknowledgedBy("a");
+        receipt.acknowledgedBy("b");
+        receipt.acknowledgedBy("b");
+        receipt.acknowledgedBy("stranger");
         assertEquals(List.of(), told);
-        receipt.receivedBy("c");
-        receipt.receivedBy("d");
+        receipt.acknowledgedBy("c");
+        receipt.acknowledgedBy("d");
         receipt.timedOut();
         assertEquals(List.of(true), told);
     }
@@ -28,7 +28,7 @@
     void lateReceiptsDoNotUndoAFailure() {
         var receipt = new QuorumAcknowledgement(List.of("a"), told::add);
         receipt.timedOut();
-        receipt.receivedBy("a");
+        receipt.acknowledgedBy("a");
         assertEquals(List.of(false), told);
     }
 }
--- a/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
@@ -16,6 +16,7 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
 import martenloom.core.golden.GoldenFile;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.core.storage.VersionedStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -51,7 +52,7 @@
     private final Registry registry = new Registry(BEAT_MS * 1000L);
 
     private VersionedStore store() {
-        return new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
+        return new VersionedStore(new FileSystemFolder(folder.toString()));
     }
 
     private void putRecordedNote() throws IOException {
@@ -122,12 +123,12 @@
     void theNoteIsWrittenAgainWithTheSameContent() throws IOException {
         putRecordedNote();
         var store = store();
-        var recorded = store.note(NOTE).orElseThrow();
+        var recorded = store.readCheckpoint(NOTE).orElseThrow();
         var checkpoint = new RegistryCheckpoint(SETTINGS, store, registry);
         Files.delete(folder.resolve(NOTE));
         checkpoint.keep();
         store.flush(FLUSH_MS);
-        var written = store().note(NOTE).orElseThrow();
+        var written = store().readCheckpoint(NOTE).orElseThrow();
         assertEquals(recorded.length, written.length);
         GoldenFile.assertSameBytes(NOTE, timeless(recorded), timeless(written));
     }
--- a/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
+++ b/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
@@ -35,7 +35,7 @@
      * sync of its writing; a process that is killed within a write leaves a part of it. A rename is
      * modelled by name, which is the worst reading.
      */
-    private static final class SimulatedFolder implements VersionedStore.Folder {
+    private static final class SimulatedFolder implements StorageFolder {
         private static final class Killed extends Error {}
 
         private Map<String, byte[]> now = new TreeMap<>();
@@ -128,13 +128,13 @@
     void whatIsLeftOfAnUnfinishedWriteIsPassedOver() {
         var f = new SimulatedFolder();
         var s = new VersionedStore(f);
-        s.keep(b("one"));
-        s.keep(b("two"));
+        s.write(b("one"));
+        s.write(b("two"));
         f.now.put("member-0000000000000003.aside", new byte[] {0, 0, 0, 9, 1});
         var again = new VersionedStore(f);
         assertArrayEquals(b("two"), again.load().get());
-        assertFalse(again.damaged());
-        again.keep(b("three"));
+        assertFalse(again.isDamaged());
+        again.write(b("three"));
         assertArrayEquals(b("three"), new VersionedStore(f).load().get());
         assertEquals(1, f.names().size(), "it is written over");
     }
@@ -147,18 +147,18 @@
     void aNewestVersionThatIsNotWholeIsALostDiskUntilTheNextIsKept() {
         var f = new SimulatedFolder();
         var s = new VersionedStore(f);
-        s.keep(b("one"));
+        s.write(b("one"));
         var first = f.now.get(FIRST);
-        s.keep(b("two"));
+        s.write(b("two"));
         f.now.put(FIRST, first);
         f.now.get(SECOND)[25 - 3] ^= 1;
         var again = new VersionedStore(f);
         assertTrue(again.load().isEmpty());
-        assertTrue(again.damaged());
-        again.keep(b("learned"));
+        assertTrue(again.isDamaged());
+        again.write(b("learned"));
         var healed = new VersionedStore(f);
         assertArrayEquals(b("learned"), healed.load().get());
-        assertFalse(healed.damaged());
+        assertFalse(healed.isDamaged());
         assertEquals(1, f.names().size());
     }
 
@@ -166,13 +166,13 @@
     void aVersionThatWasKeptAndIsGoneIsALostDisk() {
         var f = new SimulatedFolder();
         var s = new VersionedStore(f);
-        s.keep(b("one"));
-        s.keep(b("two"));
+        s.write(b("one"));
+        s.write(b("two"));
         f.now.clear();
         f.now.put("member-0000000000000003.aside", new byte[] {1});
         var again = new VersionedStore(f);
         assertTrue(again.load().isEmpty());
-        assertTrue(again.damaged(), "version 2 must have been there");
+        assertTrue(again.isDamaged(), "version 2 must have been there");
     }
 
     /**
@@ -192,7 +192,7 @@
                 try {
                     var s = new VersionedStore(f);
                     var found = s.load();
-                    assertFalse(s.damaged(), "round " + round);
+                    assertFalse(s.isDamaged(), "round " + round);
                     var at =
                             found.map(x -> Integer.parseInt(new String(x, StandardCharsets.UTF_8)))
                                     .orElse(0);
@@ -203,7 +203,7 @@
                     tried = at;
                     for (var i = 0; i < 3; i++) {
                         tried++;
-                        s.keep(b("" + tried));
+                        s.write(b("" + tried));
                         kept = tried;
                     }
                 } catch (SimulatedFolder.Killed killed) {
@@ -219,10 +219,10 @@
     void oldVersionsGoAlsoAfterAKillBeforeTheirRemoval() {
         var f = new SimulatedFolder();
         var s = new VersionedStore(f);
-        s.keep(b("one"));
+        s.write(b("one"));
         f.restart();
         f.killAtStep = 4;
-        assertThrows(SimulatedFolder.Killed.class, () -> s.keep(b("two")));
+        assertThrows(SimulatedFolder.Killed.class, () -> s.write(b("two")));
         assertEquals(2, f.names().size());
         f.restart();
         assertArrayEquals(b("two"), new VersionedStore(f).load().get());
@@ -233,15 +233,15 @@
     void aFullDiskKeepsTheNewestVersion() {
         var f = new SimulatedFolder();
         var s = new VersionedStore(f);
-        s.keep(b("one"));
+        s.write(b("one"));
         f.freeBytes = 30;
         assertThrows(
                 MartenloomException.class,
-                () -> s.keep(b("a longer version than there is space for")));
+                () -> s.write(b("a longer version than there is space for")));
         var again = new VersionedStore(f);
         assertArrayEquals(b("one"), again.load().get());
         f.freeBytes = 200;
-        again.keep(b("a longer version than there is space for"));
+        again.write(b("a longer version than there is space for"));
         assertEquals(1, f.names().size());
     }
 
@@ -251,7 +251,7 @@
         assertTrue(new VersionedStore(f).load().isEmpty());
         f.refusedWrites = 2;
         var done = new java.util.concurrent.CountDownLatch(1);
-        new VersionedStore(f).keepLater(() -> b("late"), done::countDown);
+        new VersionedStore(f).writeAsync(() -> b("late"), done::countDown);
         assertTrue(done.await(10, java.util.concurrent.TimeUnit.SECONDS));
         assertArrayEquals(b("late"), new VersionedStore(f).load().get());
     }
@@ -260,23 +260,23 @@
     void aNoteIsKeptBesideTheMemberStateAndATornOneIsNone() throws Exception {
         var f = new SimulatedFolder();
         var s = new VersionedStore(f);
-        s.keep(b("one"));
+        s.write(b("one"));
         var done = new java.util.concurrent.CountDownLatch(1);
-        s.noteLater("replicas", b("who"));
-        s.keepLater(() -> b("two"), done::countDown);
+        s.writeCheckpointAsync("replicas", b("who"));
+        s.writeAsync(() -> b("two"), done::countDown);
         assertTrue(done.await(10, java.util.concurrent.TimeUnit.SECONDS));
-        assertArrayEquals(b("who"), new VersionedStore(f).note("replicas").get());
+        assertArrayEquals(b("who"), new VersionedStore(f).readCheckpoint("replicas").get());
         assertArrayEquals(b("two"), new VersionedStore(f).load().get());
         f.now.put("replicas", new byte[] {1, 2, 3});
-        assertTrue(new VersionedStore(f).note("replicas").isEmpty());
+        assertTrue(new VersionedStore(f).readCheckpoint("replicas").isEmpty());
     }
 
     @Test
     void aRealFolderKeepsOneFileAVersion(@TempDir Path dir) {
-        var s = new VersionedStore(new VersionedStore.RealFolder(dir.resolve("a").toString()));
-        s.keep(b("one"));
-        s.keep(b("two"));
-        var f = new VersionedStore.RealFolder(dir.resolve("a").toString());
+        var s = new VersionedStore(new FileSystemFolder(dir.resolve("a").toString()));
+        s.write(b("one"));
+        s.write(b("two"));
+        var f = new FileSystemFolder(dir.resolve("a").toString());
         assertEquals(1, f.names().size());
         assertArrayEquals(b("two"), new VersionedStore(f).load().get());
     }
--- a/core/src/test/java/martenloom/core/warmup/WarmupPermitsTest.java
+++ b/core/src/test/java/martenloom/core/warmup/WarmupPermitsTest.java
@@ -33,7 +33,7 @@
         assertEquals(22, n);
         assertEquals(
                 1,
-                many.lend("r", "e39", 22, 40, WarmupPermits.HOLD_US + 1),
+                many.lend("r", "e39", 22, 40, WarmupPermits.RESERVATION_US + 1),
                 "free again when nobody asks any more");
     }
 
@@ -41,7 +41,7 @@
     void aRestartedHomeLendsNothingUntilWhatItLentHasEnded() {
         var w = new WarmupPermits(10 * S, false);
         assertEquals(0, w.lend("r", "a", 17, 3, 12 * S));
-        assertEquals(5, w.lend("r", "a", 17, 3, 10 * S + WarmupPermits.HOLD_US));
+        assertEquals(5, w.lend("r", "a", 17, 3, 10 * S + WarmupPermits.RESERVATION_US));
     }
 
     @ParameterizedTest
@@ -63,7 +63,7 @@
                 var e = "e" + i;
                 if (r.nextInt(40) == 0) {
                     lent.put(e, w.lend("r", e, share, edges, now));
-                    until.put(e, now + WarmupPermits.LEASE_US);
+                    until.put(e, now + WarmupPermits.PERMIT_US);
                 }
             }
             for (var e : lent.keySet()) {
--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
@@ -14,7 +14,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 
 /**
@@ -120,9 +120,7 @@
         var a =
                 loop(
                         "core",
-                        l ->
-                                new CoreDaemon(core, l, new VersionedStore.RealFolder(core.dataDir))
-                                        .start());
+                        l -> new CoreDaemon(core, l, new FileSystemFolder(core.dataDir)).start());
         var n = new CompletableFuture<EdgeDaemon>();
         var b =
                 loop(
--- a/launcher/src/main/java/martenloom/launcher/Launcher.java
+++ b/launcher/src/main/java/martenloom/launcher/Launcher.java
@@ -16,7 +16,7 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 
 /**
@@ -99,7 +99,7 @@
             throw new InvalidSettingsException(
                     "check settings", "DataDirectory: missing, and this role needs it");
         }
-        var c = new CoreDaemon(p, loop, new VersionedStore.RealFolder(p.dataDir));
+        var c = new CoreDaemon(p, loop, new FileSystemFolder(p.dataDir));
         loop.execute(() -> starting(() -> c.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(c::leave, "leave"));
     }
--- a/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
@@ -29,7 +29,8 @@
 import martenloom.common.error.StorageException;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
+import martenloom.core.storage.StorageFolder;
 import martenloom.edge.EdgeDaemon;
 import martenloom.shell.Shell;
 
@@ -105,11 +106,11 @@
      * whatever was under way.
      */
     private static final class Disk {
-        private final VersionedStore.Folder real;
+        private final StorageFolder real;
         private boolean out;
 
         Disk(String path) {
-            real = new VersionedStore.RealFolder(path);
+            real = new FileSystemFolder(path);
         }
 
         synchronized void pull() {
@@ -134,13 +135,13 @@
         }
     }
 
-    private VersionedStore.Folder folder(int i, String path) {
+    private StorageFolder folder(int i, String path) {
         var d = new Disk(path);
         disks.put(core(i), d);
-        return (VersionedStore.Folder)
+        return (StorageFolder)
                 java.lang.reflect.Proxy.newProxyInstance(
-                        VersionedStore.Folder.class.getClassLoader(),
-                        new Class<?>[] {VersionedStore.Folder.class},
+                        StorageFolder.class.getClassLoader(),
+                        new Class<?>[] {StorageFolder.class},
                         (x, m, a) -> {
                             if (m.getName().equals("writeSynced") && fullDisks.contains(i)) {
                                 throw new StorageException("write", "no space left");
--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -30,7 +30,7 @@
 import martenloom.common.link.LinkTraffic;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -458,7 +458,7 @@
         for (var i = 0; i < z.cores; i++) {
             var p = settings(core(i), i, true);
             var l = loop("core-" + net + "-" + i, coreThreads);
-            on(l, () -> new CoreDaemon(p, l, new VersionedStore.RealFolder(p.dataDir)).start());
+            on(l, () -> new CoreDaemon(p, l, new FileSystemFolder(p.dataDir)).start());
         }
         var parts = Math.min(16, z.replicas);
         for (var i = 0; i < parts; i++) {
--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/Process.java
@@ -66,7 +66,7 @@
                                     ChainMember.Ballot.ZERO,
                                     ChainMember.Ballot.ZERO,
                                     ClusterState.founded(seeds)));
-            disk.keep(kept.get().bytes());
+            disk.write(kept.get().bytes());
         }
         chain =
                 new ChainMember(
@@ -318,7 +318,7 @@
         }
         var store = stores.peek();
         try {
-            disk.keep(store.memberState().bytes());
+            disk.write(store.memberState().bytes());
         } catch (MartenloomException refused) {
             environment.agenda().after(DISK_RETRY_US, this::finishStore);
             return;
@@ -338,7 +338,7 @@
         }
         machine.disk().endAfter(random.below(MOST_DISK_STEPS));
         try {
-            disk.keep(stores.peek().memberState().bytes());
+            disk.write(stores.peek().memberState().bytes());
         } catch (SimulatedDisk.Ended | MartenloomException unfinished) {
             // This is what was to be brought about: the write stays as it is.
         }
--- a/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.regex.Pattern;
 import martenloom.common.error.StorageException;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.StorageFolder;
 
 /**
  * A folder of files as a kernel keeps it: names and contents that are in memory, and those that
@@ -16,7 +16,7 @@
  * is kept or lost by itself; contents that were not synced are present, missing or torn. The
  * process may be made to end between any two steps of an operation.
  */
-final class SimulatedDisk implements VersionedStore.Folder {
+final class SimulatedDisk implements StorageFolder {
     private static final Pattern VERSION_FILE = Pattern.compile(".*-[0-9a-f]{16}");
     private static final byte[] NOTHING = {};
 
