--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -337,7 +337,7 @@
             case RecordType.OVERLOAD_REPORT -> dutyRelay.onReport(link, record, in);
             case RecordType.RESYNC_REQUEST -> renewals.onResync(link, Clocks.nowUs());
             case RecordType.EDGE_REQUEST -> orders.onEdgeOrder(link, in);
-            case RecordType.LEASE_REQUEST -> dutyRelay.onWant(link, in);
+            case RecordType.LEASE_REQUEST -> dutyRelay.onRequest(link, in);
             case RecordType.LEASE_GRANT -> dutyRelay.onGrant(link, record, in);
             case RecordType.SHELL_QUERY -> answerQuery(link, in.text());
             default -> RingLog.note("link " + link.peer + ": unknown record " + type);
--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
@@ -50,7 +50,7 @@
         welcome(edge.ip, link, now);
         link.send(news.record(edge, stamp, coldReplicas, now));
         regionJobs.recordFor(holder, edge.region, now).ifPresent(link::send);
-        wantedDuties.forEach(duty -> dutyRelay.passWant(duty, holder, stamp, now));
+        wantedDuties.forEach(duty -> dutyRelay.forwardRequest(duty, holder, stamp, now));
         if (edge.leaving) {
             replicaNews.flood();
         }
--- a/core/src/main/java/martenloom/core/lease/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -13,103 +13,112 @@
 import martenloom.core.peer.CorePeerLinks;
 
 /**
- * Carries the edges' wishes for duties to the head, its grants back to them, and the reports of
- * those who hold a duty to all edges. A grant counts only from the head of the moment; grants and
- * reports under an older grant than is known here are dropped. Runs on the reactor thread.
+ * Relays what concerns role leases between the edges of this home and the head of the chain:
+ * requests to the head, its grants back, and the reports of lease holders to all edges. A grant
+ * counts only from the current head; grants and reports with an older fencing token than is known
+ * here are dropped. Runs on the reactor thread.
  */
 public final class LeaseRelay {
-    /** Wishes of edges that do not hold the duty are passed on as seldom as this. */
-    private static final long WANT_US = 350_000;
+    /** Requests of candidates that do not hold the role are forwarded as rarely as this. */
+    private static final long CANDIDATE_INTERVAL_US = 350_000;
+
+    /** Separates the address of a holder from its incarnation. */
+    private static final char INCARNATION_MARK = '#';
 
     private final ChainMember chain;
-    private final RoleLeaseService duties;
+    private final RoleLeaseService roleLeases;
     private final CorePeerLinks peers;
-    private final EdgeLinks homes;
-    private final Map<String, Long> passedUs = new HashMap<>();
+    private final EdgeLinks edges;
+
+    /** When the last request of a candidate was forwarded, by role. */
+    private final Map<String, Long> forwardedUs = new HashMap<>();
 
+    /**
+     * @param roleLeases takes the requests while this member is the head
+     */
     public LeaseRelay(
-            ChainMember chain, RoleLeaseService duties, CorePeerLinks peers, EdgeLinks homes) {
+            ChainMember chain, RoleLeaseService roleLeases, CorePeerLinks peers, EdgeLinks edges) {
         this.chain = chain;
-        this.duties = duties;
+        this.roleLeases = roleLeases;
         this.peers = peers;
-        this.homes = homes;
+        this.edges = edges;
     }
 
     /**
-     * Passes on that an edge wants a duty. The holder's own word goes on always, others' only one
-     * in a while: the head needs a candidate, not all of them.
+     * Forwards the request of an edge of this home. That of the holder always goes on, those of
+     * others only at intervals: the head needs one candidate, not all of them.
      */
-    public void passWant(String duty, String holder, long stamp, long now) {
-        if (!holds(duty, holder)) {
-            if (now - passedUs.getOrDefault(duty, 0L) < WANT_US) {
+    public void forwardRequest(String role, String candidate, long sentAtUs, long nowUs) {
+        if (!isHolder(role, candidate)) {
+            if (nowUs - forwardedUs.getOrDefault(role, 0L) < CANDIDATE_INTERVAL_US) {
                 return;
             }
-            passedUs.put(duty, now);
+            forwardedUs.put(role, nowUs);
+        }
+        if (chain.heading()) {
+            edges.link(ipOf(candidate))
+                    .ifPresent(link -> roleLeases.request(role, candidate, sentAtUs, link::send));
+        } else {
+            peers.headLink().ifPresent(head -> head.send(request(role, candidate, sentAtUs)));
         }
-        want(duty, holder, stamp);
     }
 
-    private boolean holds(String duty, String holder) {
-        return Optional.ofNullable(chain.committed().duties.get(duty))
-                .filter(current -> current.holder.equals(holder))
+    private boolean isHolder(String role, String candidate) {
+        return Optional.ofNullable(chain.committed().duties.get(role))
+                .filter(lease -> lease.holder.equals(candidate))
                 .isPresent();
     }
 
-    private void want(String duty, String holder, long stamp) {
-        if (chain.heading()) {
-            homes.link(ipOf(holder))
-                    .ifPresent(link -> duties.want(duty, holder, stamp, link::send));
-            return;
-        }
-        peers.headLink()
-                .ifPresent(
-                        head ->
-                                head.send(
-                                        new RecordWriter(RecordType.LEASE_REQUEST)
-                                                .text(duty)
-                                                .text(holder)
-                                                .i64(stamp)
-                                                .bytes()));
+    private static byte[] request(String role, String candidate, long sentAtUs) {
+        return new RecordWriter(RecordType.LEASE_REQUEST)
+                .text(role)
+                .text(candidate)
+                .i64(sentAtUs)
+                .bytes();
     }
 
-    /** Another core daemon passes on that an edge of its own wants a duty. */
-    public void onWant(PeerLinks.Link link, RecordReader in) {
-        duties.want(in.text(), in.text(), in.i64(), link::send);
+    /** Another core daemon forwards the request of one of its edges. */
+    public void onRequest(PeerLinks.Link link, RecordReader in) {
+        roleLeases.request(in.text(), in.text(), in.i64(), link::send);
     }
 
     /**
-     * A grant counts from the head of the moment, on our link to it, and not when a newer one is
+     * A grant counts when it comes from the current head, on our link to it, and no newer one is
      * known here.
      */
     public void onGrant(PeerLinks.Link from, byte[] record, RecordReader in) {
         var holder = in.text();
-        var duty = in.text();
-        var ofHead = peers.headLink().filter(head -> head == from).isPresent();
-        if (ofHead && !chain.committed().overtaken(duty, in.i64())) {
-            homes.link(ipOf(holder)).ifPresent(link -> link.send(record));
+        var role = in.text();
+        var fromHead = peers.headLink().filter(head -> head == from).isPresent();
+        if (fromHead && !chain.committed().overtaken(role, in.i64())) {
+            edges.link(ipOf(holder)).ifPresent(link -> link.send(record));
         }
     }
 
     /**
-     * A report comes from an edge of ours, then goes to all our edges and to the peers; theirs pass
-     * it to their edges only.
+     * The report of a lease holder. One of an edge of this home goes to all our edges and to the
+     * other core daemons; one that such a daemon has sent goes to our edges only.
      */
     public void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
-        var duty = in.text() + "/" + in.text();
+        var role = in.text() + "/" + in.text();
         var reporter = in.text();
-        if (chain.committed().overtaken(duty, in.i64())) {
+        if (chain.committed().overtaken(role, in.i64())) {
             RingLog.note(
-                    "a report of " + reporter + " under an older grant of " + duty + " is dropped");
+                    "a report of "
+                            + reporter
+                            + " with an older fencing token of "
+                            + role
+                            + " is dropped");
             return;
         }
-        if (homes.edgeOf(from).isPresent()) {
+        if (edges.edgeOf(from).isPresent()) {
             peers.sendAll(record);
         }
-        homes.sendAll(record);
+        edges.sendAll(record);
     }
 
     private static String ipOf(String holder) {
-        var end = holder.indexOf('#');
+        var end = holder.indexOf(INCARNATION_MARK);
         return end < 0 ? holder : holder.substring(0, end);
     }
 }
--- a/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -16,96 +16,135 @@
 import martenloom.core.state.ClusterState;
 
 /**
- * The duty leases, kept by the head: a grant is written through the chain, a renewal needs a
- * heartbeat that came after it. Another candidate is written only when the holder was not heard for
- * longer than any lease of it can run.
+ * Grants the leases on roles that one edge at a time may have, while this member heads the chain. A
+ * grant is a command to the replicated state, which gives it a fencing token. A renewal is granted
+ * once a heartbeat that was sent after the request has proven that this member still is the head.
+ *
+ * <p>Invariant: another candidate is granted the role only when the holder was not renewed for
+ * longer than any lease of it can run. Runs on the reactor thread.
  */
 public final class RoleLeaseService {
+    /** How long a lease runs at its holder, counted from when it asked. */
     public static final long LEASE_US = 2_500_000;
-    private static final long WAIT_US = 3_200_000;
 
-    private record Want(String key, String holder, long stamp, Consumer<byte[]> reply, long atUs) {}
+    /** How long after the last renewal another candidate may get the role. */
+    private static final long TAKEOVER_US = 3_200_000;
+
+    /**
+     * The newest request for a role.
+     *
+     * @param sentAtUs the time of the request by the candidate's clock, which it gets back
+     * @param reply takes the record that grants the lease
+     * @param receivedUs the time of the request by our clock
+     */
+    private record LeaseRequest(
+            String role,
+            String candidate,
+            long sentAtUs,
+            Consumer<byte[]> reply,
+            long receivedUs) {}
 
     private final ChainMember chain;
-    private final CommandSubmitter ask;
+    private final CommandSubmitter commands;
     private final LongSupplier clockUs;
-    private final Map<String, Want> wants = new TreeMap<>();
-    private final Map<String, Long> renewed = new HashMap<>();
-    private final Set<String> writing = new HashSet<>();
+    private final Map<String, LeaseRequest> requests = new TreeMap<>();
+
+    /** When each role was last granted or renewed by this head. */
+    private final Map<String, Long> renewedUs = new HashMap<>();
+
+    /** The roles whose next holder is being written to the replicated state. */
+    private final Set<String> beingWritten = new HashSet<>();
 
-    public RoleLeaseService(ChainMember c, CommandSubmitter ask, LongSupplier clockUs) {
-        chain = c;
-        this.ask = ask;
+    /**
+     * @param commands submits a command to the chain of this daemon
+     */
+    public RoleLeaseService(ChainMember chain, CommandSubmitter commands, LongSupplier clockUs) {
+        this.chain = chain;
+        this.commands = commands;
         this.clockUs = clockUs;
     }
 
-    /** A candidate wants a duty; the record that grants it is given to the reply. */
-    public void want(String key, String holder, long stamp, Consumer<byte[]> reply) {
-        var d = Optional.ofNullable(chain.committed().duties.get(key));
-        var held = wants.get(key);
-        if (held != null
-                && d.isPresent()
-                && held.holder.equals(d.get().holder)
-                && !holder.equals(held.holder)) {
-            return;
+    /**
+     * A candidate asks for a lease, or the holder for a renewal. It is answered at one of the next
+     * ticks or not at all; the request of a holder is not displaced by that of another candidate.
+     *
+     * @param sentAtUs the time of the request by the candidate's clock
+     * @param reply takes the record that grants the lease
+     */
+    public void request(String role, String candidate, long sentAtUs, Consumer<byte[]> reply) {
+        var waiting = Optional.ofNullable(requests.get(role)).map(LeaseRequest::candidate);
+        if (waiting.filter(holder -> isHolder(role, holder) && !holder.equals(candidate))
+                .isEmpty()) {
+            requests.put(
+                    role, new LeaseRequest(role, candidate, sentAtUs, reply, clockUs.getAsLong()));
         }
-        wants.put(key, new Want(key, holder, stamp, reply, clockUs.getAsLong()));
     }
 
-    public void tick(long now) {
+    private boolean isHolder(String role, String candidate) {
+        return Optional.ofNullable(chain.committed().duties.get(role))
+                .filter(lease -> lease.holder.equals(candidate))
+                .isPresent();
+    }
+
+    /** Decides the requests that can be decided now. */
+    public void tick(long nowUs) {
         if (!chain.heading()) {
-            wants.clear();
-            renewed.clear();
+            requests.clear();
+            renewedUs.clear();
             return;
         }
-        for (var w : List.copyOf(wants.values())) {
-            if (writing.contains(w.key)) {
-                // Its outcome decides who is renewed: until then the committed holder may be out.
-                continue;
+        for (var request : List.copyOf(requests.values())) {
+            // The outcome of a write decides who is renewed: until then the committed holder may
+            // have lost the role.
+            if (!beingWritten.contains(request.role)) {
+                decide(request, nowUs);
             }
-            var d = Optional.ofNullable(chain.committed().duties.get(w.key));
-            if (d.isPresent() && d.get().holder.equals(w.holder)) {
-                if (chain.provenUs() > w.atUs) {
-                    renewed.put(w.key, now);
-                    wants.remove(w.key);
-                    grant(w, d.get().grant);
-                }
-            } else if (d.isEmpty()
-                    || now - Math.max(renewed.getOrDefault(w.key, 0L), chain.headingSinceUs())
-                            > WAIT_US) {
-                wants.remove(w.key);
-                write(w);
-            } else if (now - w.atUs > LEASE_US) {
-                wants.remove(w.key);
+        }
+    }
+
+    private void decide(LeaseRequest request, long nowUs) {
+        var lease = Optional.ofNullable(chain.committed().duties.get(request.role));
+        if (lease.isPresent() && lease.get().holder.equals(request.candidate)) {
+            if (chain.provenUs() > request.receivedUs) {
+                renewedUs.put(request.role, nowUs);
+                requests.remove(request.role);
+                sendGrant(request, lease.get().grant);
             }
+        } else if (lease.isEmpty() || nowUs - lastRenewalUs(request.role) > TAKEOVER_US) {
+            requests.remove(request.role);
+            writeGrant(request, lease.map(previous -> previous.grant).orElse(0L));
+        } else if (nowUs - request.receivedUs > LEASE_US) {
+            requests.remove(request.role);
         }
     }
 
-    private void write(Want w) {
-        if (writing.add(w.key)) {
-            var newest =
-                    Optional.ofNullable(chain.committed().duties.get(w.key))
-                            .map(d -> d.grant)
-                            .orElse(0L);
-            ask.submit(
-                    new ClusterState.Change(ClusterState.Act.DUTY, newest, w.key, w.holder),
-                    (s, t) -> {
-                        writing.remove(w.key);
-                        if (s == 200) {
-                            renewed.put(w.key, clockUs.getAsLong());
-                            grant(w, Long.parseLong(t));
+    /** A former head may have renewed the lease until this member took over. */
+    private long lastRenewalUs(String role) {
+        return Math.max(renewedUs.getOrDefault(role, 0L), chain.headingSinceUs());
+    }
+
+    private void writeGrant(LeaseRequest request, long newestToken) {
+        if (beingWritten.add(request.role)) {
+            commands.submit(
+                    new ClusterState.Change(
+                            ClusterState.Act.DUTY, newestToken, request.role, request.candidate),
+                    (status, text) -> {
+                        beingWritten.remove(request.role);
+                        if (status == 200) {
+                            renewedUs.put(request.role, clockUs.getAsLong());
+                            sendGrant(request, Long.parseLong(text));
                         }
                     });
         }
     }
 
-    private static void grant(Want w, long g) {
-        w.reply.accept(
+    private static void sendGrant(LeaseRequest request, long fencingToken) {
+        request.reply.accept(
                 new RecordWriter(RecordType.LEASE_GRANT)
-                        .text(w.holder)
-                        .text(w.key)
-                        .i64(g)
-                        .i64(w.stamp)
+                        .text(request.candidate)
+                        .text(request.role)
+                        .i64(fencingToken)
+                        .i64(request.sentAtUs)
                         .i64(LEASE_US)
                         .bytes());
     }
--- a/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -73,7 +73,7 @@
     }
 
     private void want(String holder) {
-        duties.want(KEY, holder, nowUs, this::onGrant);
+        duties.request(KEY, holder, nowUs, this::onGrant);
     }
 
     private void onGrant(byte[] record) {
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -44,7 +44,7 @@
             passedOnUs.put(key, process.nowUs());
         }
         if (process.chain().heading()) {
-            duties.want(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
+            duties.request(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
             return;
         }
         var record = new RecordWriter(RecordType.LEASE_REQUEST).text(key).text(holder).i64(stampUs);
@@ -52,7 +52,7 @@
     }
 
     void onWant(SimulatedNetwork.Connection by, RecordReader in) {
-        duties.want(in.text(), in.text(), in.i64(), by::answer);
+        duties.request(in.text(), in.text(), in.i64(), by::answer);
     }
 
     /** A grant counts only when it comes from the head and no newer one is known. */
