--- a/core/src/main/java/martenloom/core/lease/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -2,7 +2,6 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import java.util.Optional;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
@@ -64,9 +63,7 @@
     }
 
     private boolean isHolder(String role, String candidate) {
-        return Optional.ofNullable(chain.committed().duties.get(role))
-                .filter(lease -> lease.holder.equals(candidate))
-                .isPresent();
+        return chain.committed().leases().isHeldBy(role, candidate);
     }
 
     private static byte[] request(String role, String candidate, long sentAtUs) {
@@ -90,7 +87,7 @@
         var holder = in.text();
         var role = in.text();
         var fromHead = peers.headLink().filter(head -> head == from).isPresent();
-        if (fromHead && !chain.committed().overtaken(role, in.i64())) {
+        if (fromHead && !chain.committed().leases().isSuperseded(role, in.i64())) {
             edges.link(ipOf(holder)).ifPresent(link -> link.send(record));
         }
     }
@@ -102,7 +99,7 @@
     public void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
         var role = in.text() + "/" + in.text();
         var reporter = in.text();
-        if (chain.committed().overtaken(role, in.i64())) {
+        if (chain.committed().leases().isSuperseded(role, in.i64())) {
             RingLog.note(
                     "a report of "
                             + reporter
--- a/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -13,7 +13,9 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.forwarding.CommandSubmitter;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * Grants the leases on roles that one edge at a time may have, while this member heads the chain. A
@@ -81,9 +83,7 @@
     }
 
     private boolean isHolder(String role, String candidate) {
-        return Optional.ofNullable(chain.committed().duties.get(role))
-                .filter(lease -> lease.holder.equals(candidate))
-                .isPresent();
+        return chain.committed().leases().isHeldBy(role, candidate);
     }
 
     /** Decides the requests that can be decided now. */
@@ -103,16 +103,16 @@
     }
 
     private void decide(LeaseRequest request, long nowUs) {
-        var lease = Optional.ofNullable(chain.committed().duties.get(request.role));
-        if (lease.isPresent() && lease.get().holder.equals(request.candidate)) {
+        var lease = chain.committed().leases().find(request.role);
+        if (lease.isPresent() && lease.get().holder().equals(request.candidate)) {
             if (chain.provenUs() > request.receivedUs) {
                 renewedUs.put(request.role, nowUs);
                 requests.remove(request.role);
-                sendGrant(request, lease.get().grant);
+                sendGrant(request, lease.get().fencingToken());
             }
         } else if (lease.isEmpty() || nowUs - lastRenewalUs(request.role) > TAKEOVER_US) {
             requests.remove(request.role);
-            writeGrant(request, lease.map(previous -> previous.grant).orElse(0L));
+            writeGrant(request, chain.committed().leases().newestToken(request.role));
         } else if (nowUs - request.receivedUs > LEASE_US) {
             requests.remove(request.role);
         }
@@ -126,11 +126,10 @@
     private void writeGrant(LeaseRequest request, long newestToken) {
         if (beingWritten.add(request.role)) {
             commands.submit(
-                    new ClusterState.Change(
-                            ClusterState.Act.DUTY, newestToken, request.role, request.candidate),
-                    (status, text) -> {
+                    StampedCommand.of(new GrantLease(request.role, newestToken, request.candidate)),
+                    (code, text) -> {
                         beingWritten.remove(request.role);
-                        if (status == 200) {
+                        if (code == ResultCode.OK) {
                             renewedUs.put(request.role, clockUs.getAsLong());
                             sendGrant(request, Long.parseLong(text));
                         }
