--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -1,65 +1,62 @@
 package martenloom.edge;
 
 import io.activej.eventloop.Eventloop;
-import io.activej.http.HttpResponse;
-import io.activej.http.HttpServer;
 import io.activej.net.SimpleServer;
 import io.activej.reactor.net.SocketSettings;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.util.Collection;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ThreadLocalRandom;
-import java.util.function.BiConsumer;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
 import martenloom.autoscaler.ScaleSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
-import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
+import martenloom.edge.admin.ShellQueries;
 import martenloom.edge.dispatch.ClientConnection;
 import martenloom.edge.dispatch.RequestDispatcher;
+import martenloom.edge.home.CoreClient;
+import martenloom.edge.home.HomeConnection;
+import martenloom.edge.jobs.JobListing;
 import martenloom.edge.jobs.JobRunner;
+import martenloom.edge.lease.RoleLeases;
+import martenloom.edge.lifecycle.GracefulShutdown;
+import martenloom.edge.lifecycle.Readiness;
+import martenloom.edge.load.ClusterLoadView;
 import martenloom.edge.overload.OverloadReport;
 import martenloom.edge.overload.OverloadReportPublisher;
-import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.edge.replica.WarmupPermits;
-import martenloom.edge.scaling.ScaleRunner;
-import martenloom.routing.language.RoutingLanguage;
+import martenloom.edge.scaling.RegionScaler;
+import martenloom.edge.scaling.ScalingOrders;
+import martenloom.edge.subscription.ConfigurationReceiver;
+import martenloom.edge.subscription.EdgeSubscription;
+import martenloom.edge.subscription.RenewalWriter;
 
 /**
- * The edge program: puts the dispatcher on a reactor, subscribes to a home daemon of the core in
- * its zone for configurations, replicas, tells the home its part of the load and takes the sums of
- * all, and sends and takes overload reports by the same way. When the core is lost, it goes on with
- * the last good state. The choice of the home, requests to the core, duties and answers to the
- * shell have classes of their own; here each record is passed to the one it concerns. Everything
- * but {@link #leave} and the getters runs on the thread of the reactor.
+ * The edge program: puts its parts on a reactor, starts what is done at intervals, and passes each
+ * record to the part that it concerns. When the core is lost, the edge goes on with the last good
+ * state. Everything but {@link #shutDown} and the getters runs on the reactor thread.
  */
 public final class EdgeDaemon implements PeerLinks.Handler {
-    private static final long RENEW_US = 400_000;
-    private static final long SAMPLE_US = 100_000;
-    private static final long REPORT_US = 250_000;
-    private static final long SCALE_US = 200_000;
+    private static final long DISPATCH_INTERVAL_US = 20_000;
+    private static final long SWEEP_INTERVAL_US = 500_000;
+    private static final long RENEWAL_INTERVAL_US = 400_000;
+    private static final long SAMPLE_INTERVAL_US = 100_000;
+    private static final long REPORT_INTERVAL_US = 250_000;
+    private static final long JOB_INTERVAL_US = 200_000;
+    private static final long SCALING_INTERVAL_US = 200_000;
 
-    /** The age up to which the sums over all edges are taken as those of now. */
-    private static final long SUMS_FRESH_US = 1_400_000;
+    /** Every so many samples the counters are logged, if the log is to be chatty. */
+    private static final int SAMPLES_PER_LOG = 50;
 
     /** The records that count only from the home of the moment, on the link to it. */
-    private static final Set<Integer> OF_THE_HOME =
+    private static final Set<Integer> FROM_HOME_ONLY =
             Set.of(
                     RecordType.EDGE_LEASE_RESPONSE,
                     RecordType.CONFIGURATION,
@@ -74,76 +71,84 @@
     private final Eventloop loop;
     private final RequestDispatcher dispatcher;
     private final ReplicaTable replicaTable;
-    private final JobRunner jobs;
-    private final CompletableFuture<Boolean> readied = new CompletableFuture<>();
+    private final Readiness readiness = new Readiness();
+    private final RoleLeases roles;
+    private final RenewalWriter renewals;
     private final HomeConnection home;
-    private final ShellQueries shell;
     private final CoreClient core;
-    private long scaleOrders;
-    private boolean jobsLive;
-    private final long life = System.nanoTime() ^ ThreadLocalRandom.current().nextLong();
-    private final LoadView load;
-    private final ScaleRunner scaler;
-    private int edgesNow;
+    private final RegionScaler scaler;
+    private final JobRunner jobs;
+    private final ConfigurationReceiver configuration;
+    private final EdgeSubscription subscription;
+    private final ClusterLoadView load;
     private final OverloadReportPublisher overloadReports;
-    private final RoleLeaseClient duties;
+    private final ShellQueries shell;
     private Optional<SimpleServer> frontend = Optional.empty();
-    private long renewals;
-    private long edition = -1;
-    private volatile long revision;
-    private boolean ready;
-    private boolean leaving;
-    private long firstNewsUs;
-    private int mismatches;
-    private int mostEdges = 1;
-    private int turn;
+    private int samples;
 
     public EdgeDaemon(Settings settings, Eventloop loop) {
         this(settings, loop, ScaleSettings.DEFAULT);
     }
 
+    /**
+     * Creates an edge that is not started.
+     *
+     * @param scaling the settings of models for which the configuration has none
+     */
     public EdgeDaemon(Settings settings, Eventloop loop, ScaleSettings scaling) {
         this.settings = settings;
         this.loop = loop;
         replicaTable = new ReplicaTable(settings);
         dispatcher = new RequestDispatcher(loop, settings, replicaTable);
-        duties = new RoleLeaseClient(settings, dispatcher, life);
-        home = new HomeConnection(settings, loop, this, this::renewal);
+        var incarnation = System.nanoTime() ^ ThreadLocalRandom.current().nextLong();
+        roles = new RoleLeases(settings, dispatcher, replicaTable, incarnation);
+        renewals =
+                new RenewalWriter(
+                        settings, dispatcher, replicaTable, readiness, roles, incarnation);
+        home = new HomeConnection(settings, loop, this, this::writeRenewal);
         core = new CoreClient(loop, home);
-        overloadReports =
-                new OverloadReportPublisher(settings, dispatcher, replicaTable, this::publish);
-        load = new LoadView(replicaTable, dispatcher, settings.ip, life);
         scaler =
-                new ScaleRunner(
-                        dispatcher, replicaTable, settings.region, scaling, this::orderReplicas);
+                new RegionScaler(
+                        dispatcher,
+                        replicaTable,
+                        settings.region,
+                        scaling,
+                        new ScalingOrders(core));
         jobs =
                 new JobRunner(
                         dispatcher,
                         core,
-                        () -> duties.holdsJobs(Clocks.nowUs()),
+                        () -> roles.holdsJobRole(Clocks.nowUs()),
                         (delayUs, task) -> Clocks.after(loop, delayUs, task),
                         settings.ip);
-        shell = new ShellQueries(dispatcher, jobs, scaler, duties, this::homeLine);
+        configuration = new ConfigurationReceiver(home, dispatcher, scaler);
+        subscription =
+                new EdgeSubscription(
+                        settings, home, replicaTable, dispatcher, configuration, readiness);
+        load = new ClusterLoadView(replicaTable, dispatcher, settings.ip, incarnation);
+        overloadReports =
+                new OverloadReportPublisher(settings, dispatcher, replicaTable, this::publish);
+        shell = new ShellQueries(dispatcher, jobs, scaler, roles, this::homeLine);
     }
 
-    /** The signal of readiness. */
+    /** Completed when the edge becomes ready. */
     public CompletableFuture<Boolean> whenReady() {
-        return readied;
+        return readiness.whenReady();
     }
 
-    /** How many edges the last sums were of. */
+    /** How many edges the last total was of. */
     public int edgesHeard() {
-        return load.whole().edges();
+        return load.total().edges();
     }
 
-    /** The revision that is in force here. */
+    /** The revision of the configuration that is in force here. Thread-safe. */
     public long revision() {
-        return revision;
+        return configuration.revision();
     }
 
-    /** The owner of all requests at this edge. */
-    public RequestDispatcher dispatcher() {
-        return dispatcher;
+    /** The replicas that this edge knows. */
+    public ReplicaTable replicaTable() {
+        return replicaTable;
     }
 
     /** Listens, picks a home and starts all that is done at intervals. */
@@ -152,269 +157,69 @@
                 loop,
                 new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
                 this);
-        HttpServer.builder(
-                        loop,
-                        request ->
-                                HttpResponse.ofCode(ready && !leaving ? 200 : 503)
-                                        .withPlainText(ready && !leaving ? "ready" : "not ready")
-                                        .toPromise())
-                .withListenAddress(Settings.address("Readiness", settings.need("Readiness")))
-                .build()
-                .listen();
-        var front =
+        readiness.listen(loop, Settings.address("Readiness", settings.need("Readiness")));
+        listenForClients();
+        home.open();
+        Clocks.every(loop, DISPATCH_INTERVAL_US, dispatcher::tick);
+        Clocks.every(loop, SWEEP_INTERVAL_US, dispatcher::sweep);
+        Clocks.every(loop, RENEWAL_INTERVAL_US, home::renew);
+        Clocks.every(loop, SAMPLE_INTERVAL_US, this::sendSample);
+        Clocks.every(loop, REPORT_INTERVAL_US, this::reportOverload);
+        Clocks.every(loop, JOB_INTERVAL_US, jobs::tick);
+        Clocks.every(loop, SCALING_INTERVAL_US, this::scale);
+        RingLog.say("edge " + settings.name + " listens at " + settings.need("Frontend"));
+    }
+
+    private void listenForClients() throws IOException {
+        var server =
                 SimpleServer.builder(loop, socket -> new ClientConnection(loop, socket, dispatcher))
                         .withSocketSettings(SocketSettings.builder().withTcpNoDelay(true).build())
                         .withListenAddress(Settings.address("Frontend", settings.need("Frontend")))
                         .build();
-        front.listen();
-        frontend = Optional.of(front);
-        home.open();
-        Clocks.every(loop, 20_000, dispatcher::tick);
-        Clocks.every(loop, 500_000, dispatcher::sweep);
-        Clocks.every(loop, RENEW_US, home::renew);
-        Clocks.every(loop, SAMPLE_US, this::sample);
-        Clocks.every(loop, REPORT_US, this::report);
-        Clocks.every(loop, 200_000, jobs::tick);
-        Clocks.every(loop, SCALE_US, this::scale);
-        RingLog.say("edge " + settings.name + " listens at " + settings.need("Frontend"));
+        server.listen();
+        frontend = Optional.of(server);
     }
 
-    // ---- leaving
-
-    /** Called from another thread at SIGTERM; returns when this edge may end. */
-    public void leave() {
-        var departure =
-                new Departure(
+    /** Called from another thread at SIGTERM; returns when the process may end. */
+    public void shutDown() {
+        var shutdown =
+                new GracefulShutdown(
                         loop,
                         dispatcher,
                         settings.bounds,
                         () -> frontend.ifPresent(SimpleServer::close));
         loop.execute(
                 () -> {
-                    leaving = true;
-                    RingLog.note("leaving");
+                    readiness.drain();
+                    RingLog.note("draining");
                     home.renew();
-                    departure.begin();
+                    shutdown.begin();
                 });
-        departure.await();
-    }
-
-    // ---- the subscription at the home
-
-    private byte[] renewal() {
-        var now = Clocks.nowUs();
-        var edge = new EdgeRecord();
-        edge.ip = settings.ip;
-        edge.name = settings.name;
-        edge.zone = settings.zone;
-        edge.region = settings.region;
-        edge.front = settings.need("Frontend");
-        edge.ready = ready;
-        edge.leaving = leaving;
-        edge.life = life;
-        edge.seq = ++renewals;
-        edge.revision = revision;
-        edge.heardUs = now;
-        var out = new RecordWriter(RecordType.EDGE_LEASE_RENEWAL);
-        edge.write(out, now);
-        return out.i64(now)
-                .text(duties.holder())
-                .texts(wantedDuties())
-                .texts(replicaTable.warmingUp(settings.region, dispatcher.table(), now))
-                .bytes();
-    }
-
-    private void scale() {
-        var now = Clocks.nowUs();
-        var fresh = now - load.wholeUs() < SUMS_FRESH_US;
-        scaler.tick(
-                duties.scaleGrant(now).orElse(0L),
-                load.whole(),
-                fresh && load.whole().edges() * 3 >= edgesNow * 2,
-                now);
-    }
-
-    /** Tells the core how many replicas a model shall have and which of them rest. */
-    private void orderReplicas(
-            String model,
-            long grant,
-            int desired,
-            Collection<String> resting,
-            BiConsumer<Integer, String> reply) {
-        var count = desired == ScaleRunner.ALL ? "all" : String.valueOf(desired);
-        var body = Stream.concat(Stream.of(count), resting.stream());
-        core.ask(
-                "SCALE",
-                model,
-                grant,
-                ++scaleOrders,
-                body.collect(Collectors.joining("\n")),
-                reply);
-    }
-
-    private void onJobs(RecordReader in) {
-        jobs.onLines(
-                in.list(
-                        line ->
-                                new JobRunner.Line(
-                                        line.text(),
-                                        line.flag(),
-                                        line.i64(),
-                                        line.i32(),
-                                        line.i64(),
-                                        line.i64(),
-                                        line.text(),
-                                        line.text())));
-    }
-
-    private Collection<String> wantedDuties() {
-        return ready && !leaving ? duties.wanted(jobsLive || jobs.busy()) : List.of();
+        shutdown.await();
     }
 
-    private void onNews(PeerLinks.Link link, RecordReader in) {
-        var now = Clocks.nowUs();
-        var sentUs = in.i64();
-        var upUs = in.i64();
-        var staleUs = in.i64();
-        if (home.isCandidate(link) && !home.judgeCandidate(staleUs)) {
-            return;
-        }
-        var newsEdition = in.i64();
-        var digest = in.i32();
-        mostEdges = Math.max(mostEdges, in.i32());
-        edgesNow = in.i32();
-        mostEdges = Math.max(mostEdges, edgesNow);
-        home.onCores(in.texts(), staleUs);
-        dispatcher.onEdges(mostEdges);
-        jobsLive = in.flag();
-        replicaTable
-                .warmupPermits()
-                .onLease(
-                        home.ip(),
-                        sentUs + in.i64(),
-                        in.list(lease -> new WarmupPermits.Permit(lease.text(), lease.i32())));
-        mismatches = digest == replicaTable.digest() && newsEdition <= edition ? 0 : mismatches + 1;
-        if (mismatches > 2) {
-            mismatches = 0;
-            home.requestWholeState();
-        }
-        home.onAge(staleUs, now);
-        if (HomeConnection.isFresh(staleUs) && firstNewsUs == 0 && edition > 0) {
-            firstNewsUs = now;
-        }
-        becomeReady(now, upUs);
-    }
+    // ---- at intervals
 
-    private void becomeReady(long now, long upUs) {
-        if (ready || edition <= 0 || revision == 0 || firstNewsUs == 0) {
-            return;
-        }
-        var table = dispatcher.table();
-        var known =
-                table.services.keySet().stream()
-                        .allMatch(service -> !replicaTable.ofService(service).isEmpty());
-        if (known && home.synced() && upUs > settings.beatMs * 1500L
-                || now - firstNewsUs > 3_000_000) {
-            ready = true;
-            readied.complete(true);
-            RingLog.say(
-                    "edge "
-                            + settings.name
-                            + " ready, revision "
-                            + revision
-                            + ", "
-                            + replicaTable.all().size()
-                            + " replicas");
-            home.renew();
-        }
+    private byte[] writeRenewal() {
+        return renewals.write(
+                configuration.revision(), subscription.jobsExist() || jobs.isRunningAny());
     }
 
-    private void onConfiguration(RecordReader in) {
-        var newEdition = in.i64();
-        var newRevision = in.i64();
-        var routingText = in.text();
-        var evacuated = in.texts();
-        var placed = new TreeMap<String, ReplicaPlacement>();
-        in.list(
-                item ->
-                        placed.put(
-                                item.text(),
-                                new ReplicaPlacement(
-                                        item.i32(), item.flag(), new TreeSet<>(item.texts()))));
-        if (newEdition <= edition || newRevision < revision) {
-            return;
-        }
-        if (newRevision > revision) {
-            if (routingText.isEmpty()) {
-                home.requestWholeState();
-                return;
-            }
-            dispatcher.onTable(RoutingLanguage.compile(routingText));
-            revision = newRevision;
-        }
-        edition = newEdition;
-        RingLog.note(
-                "configuration edition "
-                        + newEdition
-                        + " revision "
-                        + newRevision
-                        + " from home "
-                        + home.ip());
-        dispatcher.onPlaced(placed);
-        scaler.onPlaced(placed);
-        dispatcher.onEvacuated(Set.copyOf(evacuated), Clocks.nowUs());
-    }
-
-    private void onReplicas(RecordReader in) {
-        var now = Clocks.nowUs();
-        var whole = in.flag();
-        var replicas = in.list(item -> ReplicaRecord.read(item, now));
-        replicas.forEach(dispatcher::onReplica);
-        if (whole) {
-            home.onSynced();
-            var known = new HashSet<String>();
-            replicas.forEach(replica -> known.add(replica.id));
-            for (var slot : List.copyOf(replicaTable.all())) {
-                if (!known.contains(slot.id())
-                        && now - slot.reachability().heardUs() > 10_000_000
-                        && slot.attemptCount() == 0) {
-                    replicaTable.remove(slot);
-                }
-            }
-        }
-    }
-
-    // ---- peers
-
-    private void sample() {
-        turn++;
-        if (RingLog.CHATTY && turn % 50 == 0) {
+    private void sendSample() {
+        samples++;
+        if (RingLog.CHATTY && samples % SAMPLES_PER_LOG == 0) {
             RingLog.note(
                     "overload "
                             + shell.answer("overload").replace('\n', ';')
                             + " "
                             + shell.answer("counters"));
         }
-        home.link().ifPresent(link -> load.part(Clocks.nowUs()).ifPresent(link::send));
-    }
-
-    // ---- overload reports
-
-    private void onGrant(RecordReader in) {
-        if (!in.text().equals(duties.holder())) {
-            return;
-        }
-        var duty = in.text();
-        var grant = in.i64();
-        if (duties.granted(duty, grant, in.i64(), in.i64(), Clocks.nowUs())
-                && duty.equals(duties.jobDuty())) {
-            jobs.onGrant(grant);
-        }
+        home.link().ifPresent(link -> load.sampleRecord(Clocks.nowUs()).ifPresent(link::send));
     }
 
-    private void report() {
+    private void reportOverload() {
         var now = Clocks.nowUs();
-        overloadReports.tick(duties.heldReports(now), now);
+        overloadReports.tick(roles.heldReportingRoles(now), now);
     }
 
     /** The home passes a report on to the edges elsewhere, by their homes. */
@@ -425,10 +230,13 @@
         home.send(out.bytes());
     }
 
-    private void onReport(OverloadReport report) {
-        if (!report.region().equals(settings.region)) {
-            dispatcher.reports.onReport(report, Clocks.nowUs());
-        }
+    private void scale() {
+        var now = Clocks.nowUs();
+        scaler.tick(
+                roles.scalingToken(now),
+                load.total(),
+                load.isReliable(subscription.edges(), now),
+                now);
     }
 
     // ---- records
@@ -438,11 +246,11 @@
         var in = new RecordReader(record, true);
         if (home.isCandidate(link)) {
             if (in.type() == RecordType.EDGE_LEASE_RESPONSE) {
-                onNews(link, in);
+                subscription.onResponse(link, in);
             }
             return;
         }
-        if (OF_THE_HOME.contains(in.type()) && !home.isHome(link)) {
+        if (FROM_HOME_ONLY.contains(in.type()) && !home.isHome(link)) {
             RingLog.note(
                     "link "
                             + link.peer
@@ -452,43 +260,62 @@
             return;
         }
         switch (in.type()) {
-            case RecordType.HELLO -> {
-                link.peer = in.text();
-                link.send(new RecordWriter(RecordType.KNOWN_PEERS).bytes());
-            }
+            case RecordType.HELLO -> onHello(link, in);
             case RecordType.KNOWN_PEERS -> {}
-            case RecordType.EDGE_LEASE_RESPONSE -> onNews(link, in);
-            case RecordType.CONFIGURATION -> onConfiguration(in);
-            case RecordType.REPLICA_UPDATE -> onReplicas(in);
+            case RecordType.EDGE_LEASE_RESPONSE -> subscription.onResponse(link, in);
+            case RecordType.CONFIGURATION -> configuration.onConfiguration(in);
+            case RecordType.REPLICA_UPDATE -> subscription.onReplicas(in);
             case RecordType.LEASE_GRANT -> onGrant(in);
-            case RecordType.JOB_LIST -> onJobs(in);
-            case RecordType.ORDER_RESPONSE -> core.onAnswer(link, in);
-            case RecordType.TOTAL_LOAD -> load.onWhole(in, Clocks.nowUs());
+            case RecordType.JOB_LIST -> jobs.onListings(in.list(JobListing::read));
+            case RecordType.ORDER_RESPONSE -> core.onReply(link, in);
+            case RecordType.TOTAL_LOAD -> load.onTotal(in, Clocks.nowUs());
             case RecordType.OVERLOAD_REPORT -> onReport(OverloadReport.read(in));
-            case RecordType.SHELL_QUERY ->
-                    link.send(
-                            new RecordWriter(RecordType.SHELL_RESPONSE)
-                                    .text(shell.answer(in.text()))
-                                    .bytes());
+            case RecordType.SHELL_QUERY -> onQuery(link, in);
             default -> RingLog.note("link " + link.peer + ": unknown record " + in.type());
         }
     }
 
+    private static void onHello(PeerLinks.Link link, RecordReader in) {
+        link.peer = in.text();
+        link.send(new RecordWriter(RecordType.KNOWN_PEERS).bytes());
+    }
+
+    private void onGrant(RecordReader in) {
+        if (!in.text().equals(roles.holder())) {
+            return;
+        }
+        var role = in.text();
+        var fencingToken = in.i64();
+        if (roles.onGrant(role, fencingToken, in.i64(), in.i64(), Clocks.nowUs())
+                && roles.isJobRole(role)) {
+            jobs.onLease(fencingToken);
+        }
+    }
+
+    private void onReport(OverloadReport report) {
+        if (!report.region().equals(settings.region)) {
+            dispatcher.reports.onReport(report, Clocks.nowUs());
+        }
+    }
+
+    private void onQuery(PeerLinks.Link link, RecordReader in) {
+        link.send(
+                new RecordWriter(RecordType.SHELL_RESPONSE).text(shell.answer(in.text())).bytes());
+    }
+
     @Override
     public void onClosed(PeerLinks.Link link) {
         core.onClosed(link);
         RingLog.note("link " + link.peer + " closed");
     }
 
-    // ---- the shell
-
     private String homeLine() {
         return home.ip()
-                + (ready ? " ready" : " not ready")
+                + (readiness.isReady() ? " ready" : " not ready")
                 + " edition "
-                + edition
+                + configuration.edition()
                 + " revision "
-                + revision
+                + configuration.revision()
                 + '\n';
     }
 }
--- a/edge/src/main/java/martenloom/edge/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/admin/ShellQueries.java
@@ -1,4 +1,4 @@
-package martenloom.edge;
+package martenloom.edge.admin;
 
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
@@ -6,10 +6,11 @@
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
+import martenloom.edge.lease.RoleLeases;
 import martenloom.edge.overload.OverloadReport;
 import martenloom.edge.overload.ReductionState;
 import martenloom.edge.replica.ReplicaEndpoint;
-import martenloom.edge.scaling.ScaleRunner;
+import martenloom.edge.scaling.RegionScaler;
 import martenloom.routing.language.RoutingLanguage;
 
 /**
@@ -17,14 +18,14 @@
  * edge does; an unknown one is answered by the list of those that exist. Runs on the thread of the
  * reactor.
  */
-final class ShellQueries {
+public final class ShellQueries {
     private static final int LOG_LINES = 200;
-    private static final int PLACE_LINES = 200;
+    private static final int PREFIX_LINES = 200;
 
     private final RequestDispatcher dispatcher;
     private final JobRunner jobs;
-    private final ScaleRunner scaler;
-    private final RoleLeaseClient duties;
+    private final RegionScaler scaler;
+    private final RoleLeases roles;
     private final Supplier<String> home;
 
     /**
@@ -32,32 +33,32 @@
      *
      * @param home writes the line about the home and the state received from it
      */
-    ShellQueries(
+    public ShellQueries(
             RequestDispatcher dispatcher,
             JobRunner jobs,
-            ScaleRunner scaler,
-            RoleLeaseClient duties,
+            RegionScaler scaler,
+            RoleLeases roles,
             Supplier<String> home) {
         this.dispatcher = dispatcher;
         this.jobs = jobs;
         this.scaler = scaler;
-        this.duties = duties;
+        this.roles = roles;
         this.home = home;
     }
 
     /** The answer to one query. */
-    String answer(String query) {
+    public String answer(String query) {
         var now = Clocks.nowUs();
         return switch (query) {
             case "counters" -> counters();
             case "overload" -> overload(now);
-            case "leases" -> duties.text(now);
+            case "leases" -> roles.text(now);
             case "replicas" -> replicas(now);
             case "configuration" -> RoutingLanguage.write(dispatcher.table());
             case "home" -> home.get();
             case "jobs" -> jobs.text();
             case "scaling" -> scaler.text(now);
-            case "places" -> dispatcher.places.text(PLACE_LINES);
+            case "places" -> dispatcher.places.text(PREFIX_LINES);
             case "traffic" -> LinkTraffic.text();
             case "log" -> RingLog.tail(LOG_LINES);
             default ->
@@ -135,23 +136,23 @@
 
     private String replicas(long now) {
         var lines = new StringBuilder();
-        dispatcher.replicaTable.all().forEach(slot -> lines.append(replica(slot, now)));
+        dispatcher.replicaTable.all().forEach(replica -> lines.append(replica(replica, now)));
         return lines.toString();
     }
 
-    private static String replica(ReplicaEndpoint slot, long now) {
+    private static String replica(ReplicaEndpoint replica, long now) {
         return String.format(
                 "%s %s %s in-hand %d others %d unread %d rate %.1f work %d us rtt %d us%s%s\n",
-                slot.id(),
-                slot.service(),
-                slot.zone(),
-                slot.load().ownInFlight(),
-                slot.load().peerInFlight(now),
-                slot.load().ownPendingPrefillTokens(),
-                slot.latency().prefillTokensPerMs(),
-                (long) slot.latency().serviceTimeUs(),
-                (long) slot.latency().roundTripUs(),
-                slot.isDraining() ? " draining" : "",
-                slot.reachability().isSuspected(now) ? " suspect" : "");
+                replica.id(),
+                replica.service(),
+                replica.zone(),
+                replica.load().ownInFlight(),
+                replica.load().peerInFlight(now),
+                replica.load().ownPendingPrefillTokens(),
+                replica.latency().prefillTokensPerMs(),
+                (long) replica.latency().serviceTimeUs(),
+                (long) replica.latency().roundTripUs(),
+                replica.isDraining() ? " draining" : "",
+                replica.reachability().isSuspected(now) ? " suspect" : "");
     }
 }
--- /dev/null
+++ b/edge/src/main/java/martenloom/edge/home/HomeCandidates.java
@@ -0,0 +1,72 @@
+package martenloom.edge.home;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import martenloom.common.settings.Settings;
+
+/**
+ * The core daemons that this edge knows, and its preference among them as its home: those not
+ * lately found unfit, then those of its own zone, then by a hash, so that the edges of a zone
+ * spread over its daemons. Runs on the reactor thread.
+ */
+final class HomeCandidates {
+    /** How long a daemon that was unfit as a home is passed over. */
+    private static final long AVOID_US = 3_000_000;
+
+    private final Settings settings;
+    private final Set<String> cores = new LinkedHashSet<>();
+    private final Map<String, Long> avoidedUntilUs = new HashMap<>();
+
+    HomeCandidates(Settings settings) {
+        this.settings = settings;
+        addSeeds();
+    }
+
+    private void addSeeds() {
+        settings.seeds.forEach(seed -> cores.add(seed.substring(0, seed.lastIndexOf(':'))));
+    }
+
+    /**
+     * Takes the core daemons that the home knows.
+     *
+     * @param fresh whether its knowledge is fresh and replaces what was known
+     */
+    void onCores(Collection<String> known, boolean fresh) {
+        if (fresh) {
+            cores.clear();
+        }
+        cores.addAll(known);
+    }
+
+    /** The core daemons in the order in which this edge would take them as its home. */
+    List<String> byPreference(long now) {
+        addSeeds();
+        var homes = new ArrayList<>(cores);
+        homes.sort(
+                Comparator.<String>comparingInt(core -> isAvoided(core, now) ? 1 : 0)
+                        .thenComparing(core -> !isInOwnZone(core))
+                        .thenComparingInt(core -> (core + settings.ip).hashCode()));
+        return homes;
+    }
+
+    /** Whether a daemon was lately found unfit. */
+    boolean isAvoided(String ip, long now) {
+        return avoidedUntilUs.getOrDefault(ip, 0L) > now;
+    }
+
+    /** A daemon was found unfit. */
+    void avoid(String ip, long now) {
+        avoidedUntilUs.put(ip, now + AVOID_US);
+    }
+
+    /** Whether a daemon is in this edge's zone: its addresses share their first three numbers. */
+    boolean isInOwnZone(String ip) {
+        return ip.startsWith(settings.ip.substring(0, settings.ip.lastIndexOf('.') + 1));
+    }
+}
--- a/edge/src/main/java/martenloom/edge/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeConnection.java
@@ -1,15 +1,8 @@
-package martenloom.edge;
+package martenloom.edge.home;
 
 import io.activej.eventloop.Eventloop;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
@@ -21,24 +14,21 @@
 
 /**
  * The choice of this edge's home, the core daemon that it is subscribed to. There is at most one
- * home at a time. A home that cannot be reached or falls silent is left at once; one that is only
- * stale, or outside the own zone, is kept until a candidate was asked and has shown that it is in
- * contact with a majority. A daemon that was left or passed over is not tried again for a while
- * unless there is no other. All methods run on the thread of the reactor.
+ * home at a time. A home that cannot be reached or is unresponsive is left at once; one that is
+ * only stale, or outside the own zone, is kept until a candidate was asked and has shown that it is
+ * in contact with a majority. A daemon that was left or passed over is not tried again for a while
+ * unless there is no other. Runs on the reactor thread.
  */
-final class HomeConnection {
+public final class HomeConnection {
     /** The age from which a daemon's knowledge of the core counts as stale. */
     private static final long STALE_US = 1_500_000;
 
-    private static final long SILENCE_US = 1_400_000;
+    private static final long UNRESPONSIVE_US = 1_400_000;
     private static final long REDIAL_US = 150_000;
 
     /** How long a daemon may take to answer before another is tried. */
     private static final long REACH_US = 700_000;
 
-    /** How long a daemon that was no good as a home is passed over. */
-    private static final long AVOID_US = 3_000_000;
-
     /** How long a new home may be stale before a better one is sought. */
     private static final long SETTLE_US = 800_000;
 
@@ -49,15 +39,16 @@
     private final Eventloop loop;
     private final PeerLinks.Handler handler;
     private final Supplier<byte[]> renewal;
-    private final Set<String> cores = new LinkedHashSet<>();
-    private final Map<String, Long> avoidedUntilUs = new HashMap<>();
+    private final HomeCandidates candidates;
     private Optional<PeerLinks.Dial> home = Optional.empty();
     private String homeIp = "";
 
-    /** The last moment at which the home was picked or its knowledge was fresh. */
+    /** The last moment at which the home was picked or its knowledge was fresh, in microseconds. */
     private long homeFreshUs;
 
     private long homePickedUs;
+
+    /** Whether all replicas were received since the last home that was never a candidate. */
     private boolean synced;
 
     /**
@@ -75,7 +66,7 @@
      * @param handler receives the records of the home and of the candidate
      * @param renewal writes the record by which this edge subscribes and renews its subscription
      */
-    HomeConnection(
+    public HomeConnection(
             Settings settings,
             Eventloop loop,
             PeerLinks.Handler handler,
@@ -84,61 +75,61 @@
         this.loop = loop;
         this.handler = handler;
         this.renewal = renewal;
-        addSeeds();
+        candidates = new HomeCandidates(settings);
     }
 
     /** Whether knowledge of this age still counts. */
-    static boolean isFresh(long staleUs) {
+    public static boolean isFresh(long staleUs) {
         return staleUs < STALE_US;
     }
 
     /** Picks the first home. */
-    void open() {
+    public void open() {
         pickHome();
     }
 
     /** The address of the home, empty before the first was picked. */
-    String ip() {
+    public String ip() {
         return homeIp;
     }
 
     /** The link to the home while it is up. */
-    Optional<PeerLinks.Link> link() {
+    public Optional<PeerLinks.Link> link() {
         return home.flatMap(PeerLinks.Dial::link);
     }
 
     /** Whether this is the link to the home. */
-    boolean isHome(PeerLinks.Link link) {
+    public boolean isHome(PeerLinks.Link link) {
         return link().filter(known -> known == link).isPresent();
     }
 
     /** Whether this is the link to the candidate. */
-    boolean isCandidate(PeerLinks.Link link) {
+    public boolean isCandidate(PeerLinks.Link link) {
         return candidate.flatMap(PeerLinks.Dial::link).filter(known -> known == link).isPresent();
     }
 
     /** Sends a record to the home; it is lost when the link is down. */
-    void send(byte[] record) {
+    public void send(byte[] record) {
         home.ifPresent(dial -> dial.send(record));
     }
 
     /** Asks the home for its whole state. */
-    void requestWholeState() {
+    public void requestWholeState() {
         send(new RecordWriter(RecordType.RESYNC_REQUEST).bytes());
     }
 
     /** Whether all replicas were received since the last home that was never a candidate. */
-    boolean synced() {
+    public boolean isSynced() {
         return synced;
     }
 
     /** All replicas that the home knows were received. */
-    void onSynced() {
+    public void onSynced() {
         synced = true;
     }
 
-    /** Renews the subscription, or leaves a home that is silent or cannot be reached. */
-    void renew() {
+    /** Renews the subscription, or leaves a home that is unresponsive or cannot be reached. */
+    public void renew() {
         var now = Clocks.nowUs();
         if (candidate.isPresent() && now - candidateSinceUs > REACH_US) {
             passOverCandidate("not reached");
@@ -152,13 +143,13 @@
     }
 
     private void renewOn(PeerLinks.Link link, long now) {
-        if (now - link.heardUs > SILENCE_US) {
-            leaveHome("silent");
+        if (now - link.heardUs > UNRESPONSIVE_US) {
+            leaveHome("unresponsive");
             return;
         }
         link.send(renewal.get());
-        if (!inOwnZone(homeIp) && now - homePickedUs > RETURN_US) {
-            seekHome(this::inOwnZone, now);
+        if (!candidates.isInOwnZone(homeIp) && now - homePickedUs > RETURN_US) {
+            seekHome(candidates::isInOwnZone, now);
         }
     }
 
@@ -168,7 +159,7 @@
      *
      * @return whether it is the home now
      */
-    boolean judgeCandidate(long staleUs) {
+    public boolean judgeCandidate(long staleUs) {
         if (!isFresh(staleUs)) {
             passOverCandidate("stale by " + staleUs / 1000 + " ms");
             return false;
@@ -178,15 +169,12 @@
     }
 
     /** The home said which core daemons there are; fresh knowledge replaces what was known. */
-    void onCores(Collection<String> known, long staleUs) {
-        if (isFresh(staleUs)) {
-            cores.clear();
-        }
-        cores.addAll(known);
+    public void onCores(Collection<String> known, long staleUs) {
+        candidates.onCores(known, isFresh(staleUs));
     }
 
     /** The home said how old its knowledge is; a better one is sought when it stays stale. */
-    void onAge(long staleUs, long now) {
+    public void onAge(long staleUs, long now) {
         if (isFresh(staleUs)) {
             homeFreshUs = now;
         } else if (now - homePickedUs > SETTLE_US) {
@@ -194,33 +182,6 @@
         }
     }
 
-    private void addSeeds() {
-        settings.seeds.forEach(seed -> cores.add(seed.substring(0, seed.lastIndexOf(':'))));
-    }
-
-    /** The core daemons in the order in which this edge would take them as its home. */
-    private List<String> homesByPreference(long now) {
-        addSeeds();
-        var homes = new ArrayList<>(cores);
-        homes.sort(
-                Comparator.<String>comparingInt(core -> avoided(core, now) ? 1 : 0)
-                        .thenComparing(core -> !inOwnZone(core))
-                        .thenComparingInt(core -> (core + settings.ip).hashCode()));
-        return homes;
-    }
-
-    private boolean avoided(String ip, long now) {
-        return avoidedUntilUs.getOrDefault(ip, 0L) > now;
-    }
-
-    private void avoid(String ip) {
-        avoidedUntilUs.put(ip, Clocks.nowUs() + AVOID_US);
-    }
-
-    private boolean inOwnZone(String ip) {
-        return ip.startsWith(settings.ip.substring(0, settings.ip.lastIndexOf('.') + 1));
-    }
-
     private PeerLinks.Dial dial(String ip) {
         return new PeerLinks.Dial(
                 loop,
@@ -232,7 +193,7 @@
 
     private void pickHome() {
         var now = Clocks.nowUs();
-        var homes = homesByPreference(now);
+        var homes = candidates.byPreference(now);
         if (homes.isEmpty()) {
             return;
         }
@@ -243,9 +204,9 @@
         home = Optional.of(dial(homeIp));
     }
 
-    private void leaveHome(String why) {
-        RingLog.note("home " + homeIp + " is left: " + why);
-        avoid(homeIp);
+    private void leaveHome(String reason) {
+        RingLog.note("home " + homeIp + " is left: " + reason);
+        candidates.avoid(homeIp, Clocks.nowUs());
         dropCandidate();
         home.ifPresent(PeerLinks.Dial::stop);
         pickHome();
@@ -256,8 +217,12 @@
         if (candidate.isPresent()) {
             return;
         }
-        homesByPreference(now).stream()
-                .filter(core -> !core.equals(homeIp) && !avoided(core, now) && eligible.test(core))
+        candidates.byPreference(now).stream()
+                .filter(
+                        core ->
+                                !core.equals(homeIp)
+                                        && !candidates.isAvoided(core, now)
+                                        && eligible.test(core))
                 .findFirst()
                 .ifPresent(core -> askCandidate(core, now));
     }
@@ -273,9 +238,9 @@
         candidate = Optional.empty();
     }
 
-    private void passOverCandidate(String why) {
-        RingLog.note("home " + homeIp + " is kept: " + candidateIp + " is " + why);
-        avoid(candidateIp);
+    private void passOverCandidate(String reason) {
+        RingLog.note("home " + homeIp + " is kept: " + candidateIp + " is " + reason);
+        candidates.avoid(candidateIp, Clocks.nowUs());
         dropCandidate();
     }
 
@@ -285,7 +250,7 @@
      */
     private void takeCandidate() {
         RingLog.note("home " + homeIp + " is left for " + candidateIp);
-        avoid(homeIp);
+        candidates.avoid(homeIp, Clocks.nowUs());
         var old = home;
         home = candidate;
         homeIp = candidateIp;
--- /dev/null
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRun.java
@@ -0,0 +1,240 @@
+package martenloom.edge.jobs;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.function.Consumer;
+import martenloom.common.jobs.Job;
+import martenloom.common.log.RingLog;
+import martenloom.edge.dispatch.Request;
+import martenloom.edge.home.CoreReply;
+
+/**
+ * One run of a job: takes the answer to its request, saves the output of a resumable job at the
+ * core as it comes, and reports the end until the core has replied or the lease is lost. Reports
+ * are made one at a time, and repeated until their outcome is known; the run that they name makes
+ * that harmless. Runs on the reactor thread.
+ */
+final class JobRun implements Request.Sink {
+    /** Output is saved when there is more than this. */
+    private static final int SAVE_ABOVE_BYTES = 16 << 10;
+
+    private static final long REPEAT_US = 200_000;
+    private static final int MAX_SAVE_ATTEMPTS = 50;
+
+    /** How often the end of a run looks whether its output has been saved. */
+    private static final long AWAIT_SAVE_US = 100_000;
+
+    private static final int MAX_AWAIT_SAVE_ATTEMPTS = 200;
+
+    private static final int STATUS_FROM = 9;
+    private static final int STATUS_TO = 12;
+    private static final int OK = 200;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    /** What a run needs of the runner of the jobs. */
+    interface Owner {
+        /** The run is over and need not be known any more. */
+        void onEnded(JobRun run);
+
+        /** The run can't go on. */
+        void abandon(JobRun run, String reason);
+    }
+
+    /** A report of the end of this run, with what the output is when it is sent. */
+    private interface EndReport {
+        void send(Consumer<CoreReply> onReply);
+    }
+
+    private final Job job;
+    private final JobLease lease;
+    private final long fencingToken;
+    private final JobReports reports;
+    private final Scheduler scheduler;
+    private final Owner owner;
+
+    /** The output that is not saved. */
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+
+    private Optional<Request> request = Optional.empty();
+
+    /** The output that the core has, in bytes. */
+    private int savedBytes;
+
+    private boolean saving;
+    private boolean over;
+
+    JobRun(Job job, JobLease lease, JobReports reports, Scheduler scheduler, Owner owner) {
+        this.job = job;
+        this.lease = lease;
+        this.reports = reports;
+        this.scheduler = scheduler;
+        this.owner = owner;
+        fencingToken = lease.fencingToken();
+        savedBytes = job.kept.length;
+    }
+
+    String jobId() {
+        return job.id;
+    }
+
+    /** The fencing token under which the run began. */
+    long fencingToken() {
+        return fencingToken;
+    }
+
+    /** The number of the run among those of its job. */
+    int number() {
+        return job.runs;
+    }
+
+    /** The request that was started for the run, if one could be. */
+    Optional<Request> request() {
+        return request;
+    }
+
+    void setRequest(Optional<Request> started) {
+        request = started;
+    }
+
+    boolean isOver() {
+        return over;
+    }
+
+    /** Reports nothing any more. */
+    void abandon() {
+        over = true;
+    }
+
+    // ---- the answer
+
+    @Override
+    public void whole(byte[] headBytes, byte[] body) {
+        var head = new String(headBytes, StandardCharsets.ISO_8859_1);
+        var status = Integer.parseInt(head.substring(STATUS_FROM, STATUS_TO));
+        var sealed = head.toLowerCase(Locale.ROOT).contains("\r\nx-server-seal:");
+        if (sealed && status / 100 == 2) {
+            output.writeBytes(body);
+            reportResult(status);
+        } else if (sealed || head.contains("X-Attempt-Id")) {
+            reportFailure(RunFailure.RAN_AND_FAILED, "the replica answered " + status);
+        } else {
+            var rejected = status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS;
+            reportFailure(
+                    rejected ? RunFailure.NOT_RUN : RunFailure.MAY_HAVE_RUN,
+                    "no answer: " + status);
+        }
+    }
+
+    @Override
+    public void open(byte[] head) {
+        // Its events are the output.
+    }
+
+    @Override
+    public void event(byte[] events) {
+        output.writeBytes(events);
+        if (output.size() > SAVE_ABOVE_BYTES) {
+            saveOutput();
+        }
+    }
+
+    @Override
+    public void end() {
+        reportResult(OK);
+    }
+
+    @Override
+    public void cut() {
+        saveOutput();
+        reportFailure(RunFailure.MAY_HAVE_RUN, "the stream was cut");
+    }
+
+    @Override
+    public int waiting() {
+        return 0;
+    }
+
+    // ---- saving output
+
+    /** Saves what was not saved, if the job can be resumed; one report at a time. */
+    void saveOutput() {
+        if (over || saving || !job.resumable || output.size() == 0 || request.isEmpty()) {
+            return;
+        }
+        saving = true;
+        var unsaved = output.toByteArray();
+        output.reset();
+        save(request.get().lastEvent, unsaved, 0);
+    }
+
+    /** The same report again until its outcome is known; its offset makes that harmless. */
+    private void save(String lastEventId, byte[] unsaved, int attempts) {
+        reports.append(
+                this,
+                lastEventId,
+                savedBytes,
+                unsaved,
+                reply -> {
+                    if (reply.isAccepted()) {
+                        savedBytes += unsaved.length;
+                        saving = false;
+                    } else if (reply.isUnknown()
+                            && lease.isHeld()
+                            && attempts < MAX_SAVE_ATTEMPTS) {
+                        scheduler.after(REPEAT_US, () -> save(lastEventId, unsaved, attempts + 1));
+                    } else {
+                        owner.abandon(this, "the core said " + reply.text());
+                    }
+                });
+    }
+
+    // ---- reporting the end
+
+    private void reportResult(int status) {
+        reportEnd(
+                "result",
+                onReply -> reports.finish(this, status, savedBytes, output.toByteArray(), onReply),
+                0);
+    }
+
+    void reportFailure(RunFailure failure, String reason) {
+        reportEnd(failure.name(), onReply -> reports.giveBack(this, failure, reason, onReply), 0);
+    }
+
+    /** Reports the end until the core has a reply or the lease is lost. */
+    private void reportEnd(String kind, EndReport report, int attempts) {
+        over = true;
+        if (!lease.isHeldWith(fencingToken)) {
+            owner.onEnded(this);
+            return;
+        }
+        if (saving && attempts < MAX_AWAIT_SAVE_ATTEMPTS) {
+            scheduler.after(AWAIT_SAVE_US, () -> reportEnd(kind, report, attempts + 1));
+            return;
+        }
+        report.send(
+                reply -> {
+                    if (reply.isUnknown()) {
+                        scheduler.after(REPEAT_US, () -> reportEnd(kind, report, attempts + 1));
+                    } else {
+                        owner.onEnded(this);
+                        logEnd(kind, reply);
+                    }
+                });
+    }
+
+    private void logEnd(String kind, CoreReply reply) {
+        RingLog.note(
+                "job "
+                        + job.id
+                        + " "
+                        + kind
+                        + ": "
+                        + reply.status()
+                        + " "
+                        + (reply.isAccepted() ? "" : reply.text()));
+    }
+}
--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -1,392 +1,250 @@
 package martenloom.edge.jobs;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
-import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
-import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
 import martenloom.common.log.RingLog;
-import martenloom.edge.dispatch.Request;
 import martenloom.edge.dispatch.RequestDispatcher;
+import martenloom.edge.home.CoreReply;
+import martenloom.edge.home.CoreRequests;
 import martenloom.edge.http.Head;
 
 /**
- * Runs the deferred jobs of a region while this edge holds that duty. It picks by urgency, then by
- * shared prefix, takes a job only when the dispatcher has room to spare, and tells the core of
- * every step under the fence of its grant; when the grant ends it lets go of everything at once.
- * The core decides what a lost run means.
+ * Runs the deferred jobs of a region while this edge holds that role. It picks by urgency, then by
+ * shared prefix, starts a job only when the dispatcher has capacity to spare, and reports every
+ * step to the core under the fencing token of its lease; when the lease ends it abandons everything
+ * at once. The core decides what a lost run means. Runs on the reactor thread.
  */
-public final class JobRunner {
-    private static final int MOST = 6;
-    private static final int KEEP_BYTES = 16 << 10;
+public final class JobRunner implements JobRun.Owner {
+    private static final int MAX_RUNS = 6;
 
-    /**
-     * How the core is told: act, subject, fence, number of the run, body; the reply is a status and
-     * a text.
-     */
-    @FunctionalInterface
-    public interface Core {
-        void ask(
-                String act,
-                String job,
-                long fence,
-                long run,
-                String body,
-                BiConsumer<Integer, String> reply);
-    }
-
-    /** One line of what the home says of live jobs. */
-    public record Line(
-            String id,
-            boolean running,
-            long fence,
-            int runs,
-            long leftUs,
-            long wholeUs,
-            String prefix,
-            String route) {}
-
-    private final class Run implements Request.Sink {
-        final Job job;
-        final long fence;
-        final ByteArrayOutputStream fresh = new ByteArrayOutputStream();
-        Optional<Request> request = Optional.empty();
-        String head = "";
-        boolean telling;
-        boolean over;
-        int kept;
-
-        Run(Job j, long f) {
-            job = j;
-            fence = f;
-            kept = j.kept.length;
-        }
-
-        @Override
-        public void whole(byte[] h, byte[] body) {
-            var s = new String(h, StandardCharsets.ISO_8859_1);
-            var status = Integer.parseInt(s.substring(9, 12));
-            var sealed = s.toLowerCase(Locale.ROOT).contains("\r\nx-server-seal:");
-            if (sealed && status / 100 == 2) {
-                fresh.writeBytes(body);
-                done(status);
-            } else if (sealed || s.contains("X-Attempt-Id")) {
-                back(2, "the replica answered " + status);
-            } else {
-                back(status == 503 || status == 429 ? 0 : 1, "no answer: " + status);
-            }
-        }
-
-        @Override
-        public void open(byte[] h) {
-            head = new String(h, StandardCharsets.ISO_8859_1);
-        }
-
-        @Override
-        public void event(byte[] b) {
-            fresh.writeBytes(b);
-            if (fresh.size() > KEEP_BYTES) {
-                keep();
-            }
-        }
+    /** A run that is not listed is abandoned once it is older: the list may be from before it. */
+    private static final long MIN_UNLISTED_US = 2_000_000;
 
-        @Override
-        public void end() {
-            done(200);
-        }
+    /** How long a run that was given back is left alone, so that the list may show it. */
+    private static final long GIVEN_BACK_PAUSE_US = 600_000;
 
-        @Override
-        public void cut() {
-            keep();
-            back(1, "the stream was cut");
-        }
+    private static final long MIN_TIME_REMAINING_MS = 2_000;
 
-        @Override
-        public int waiting() {
-            return 0;
-        }
+    /** The most urgent first, then like jobs together, then those with the least time left. */
+    private static final Comparator<JobListing> PICK_ORDER =
+            Comparator.comparingInt((JobListing listing) -> -listing.urgency())
+                    .thenComparing(JobListing::prefix)
+                    .thenComparingLong(JobListing::leftUs);
 
-        void keep() {
-            if (over || telling || !job.resumable || fresh.size() == 0 || request.isEmpty()) {
-                return;
-            }
-            telling = true;
-            var n = fresh.toByteArray();
-            fresh.reset();
-            keep(request.get().lastEvent, n, 0);
-        }
-
-        /**
-         * The same words again until there is a clear reply; the place they belong makes that
-         * harmless.
-         */
-        private void keep(String last, byte[] n, int tries) {
-            core.ask(
-                    "JOB_KEEP",
-                    job.id,
-                    fence,
-                    job.runs,
-                    body(new RecordWriter().text(last).i32(kept).blob(n)),
-                    (s, t) -> {
-                        if (s == 200) {
-                            kept += n.length;
-                            telling = false;
-                        } else if (s == 503 && held.getAsBoolean() && tries < 50) {
-                            later.accept(200_000L, () -> keep(last, n, tries + 1));
-                        } else {
-                            letGo(this, "the core said " + t);
-                        }
-                    });
-        }
+    private final RequestDispatcher dispatcher;
+    private final JobReports reports;
+    private final JobLease lease;
+    private final Scheduler scheduler;
+    private final Map<String, JobRun> runs = new TreeMap<>();
 
-        void done(int status) {
-            tell(
-                    "JOB_DONE",
-                    () -> body(new RecordWriter().i32(status).i32(kept).blob(fresh.toByteArray())),
-                    0);
-        }
+    /** The jobs for which the core was asked and has not replied, or has just replied. */
+    private final Set<String> pending = new TreeSet<>();
 
-        void back(int how, String why) {
-            tell("JOB_BACK", () -> body(new RecordWriter().u8(how).text(why)), 0);
-        }
+    /** The jobs that ran here under the present lease. */
+    private final Set<String> ran = new TreeSet<>();
 
-        /** Tells the end until the core has a clear answer or the duty is gone. */
-        private void tell(String act, Supplier<String> b, int tries) {
-            over = true;
-            if (!held.getAsBoolean() || fence != grant) {
-                runs.remove(job.id);
-                return;
-            }
-            if (telling && tries < 200) {
-                later.accept(100_000L, () -> tell(act, b, tries + 1));
-                return;
-            }
-            core.ask(
-                    act,
-                    job.id,
-                    fence,
-                    job.runs,
-                    b.get(),
-                    (s, t) -> {
-                        if (s == 503) {
-                            later.accept(200_000L, () -> tell(act, b, tries + 1));
-                        } else {
-                            runs.remove(job.id);
-                            RingLog.note(
-                                    "job "
-                                            + job.id
-                                            + " "
-                                            + act
-                                            + ": "
-                                            + s
-                                            + " "
-                                            + (s == 200 ? "" : t));
-                        }
-                    });
-        }
-    }
+    /** Why each waiting job was not started in the last turn, for the shell. */
+    private final Map<String, String> waitReasons = new TreeMap<>();
 
-    private final RequestDispatcher dispatcher;
-    private final Core core;
-    private final BooleanSupplier held;
-    private final BiConsumer<Long, Runnable> later;
-    private final String me;
-    private final Map<String, Run> runs = new TreeMap<>();
-    private final Set<String> starting = new TreeSet<>();
-    private final Set<String> ran = new TreeSet<>();
-    private final Map<String, String> waits = new TreeMap<>();
-    private List<Line> lines = List.of();
-    private long grant;
+    private List<JobListing> listings = List.of();
     private long started;
 
+    /**
+     * Creates a runner without a lease.
+     *
+     * @param holdsRole whether this edge holds the role now
+     * @param runner the address of this edge
+     */
     public JobRunner(
-            RequestDispatcher f,
-            Core c,
-            BooleanSupplier held,
-            BiConsumer<Long, Runnable> later,
-            String me) {
-        dispatcher = f;
-        core = c;
-        this.held = held;
-        this.later = later;
-        this.me = me;
-    }
-
-    private static String body(RecordWriter o) {
-        return Base64.getEncoder().encodeToString(o.bytes());
+            RequestDispatcher dispatcher,
+            CoreRequests core,
+            BooleanSupplier holdsRole,
+            Scheduler scheduler,
+            String runner) {
+        this.dispatcher = dispatcher;
+        this.scheduler = scheduler;
+        reports = new JobReports(core, runner);
+        lease = new JobLease(holdsRole);
     }
 
-    public void onLines(List<Line> l) {
-        lines = l;
+    /** Takes the jobs of the region that are not over. */
+    public void onListings(List<JobListing> newer) {
+        listings = newer;
     }
 
-    public void onGrant(long g) {
-        if (g != grant) {
-            dropAll("a new grant");
+    /** Takes the fencing token of a grant or of its renewal. */
+    public void onLease(long fencingToken) {
+        if (lease.renew(fencingToken)) {
+            abandonAll("a new grant");
             ran.clear();
         }
-        grant = g;
     }
 
-    public boolean busy() {
+    /** Whether some job runs here. */
+    public boolean isRunningAny() {
         return !runs.isEmpty();
     }
 
-    private void letGo(Run r, String why) {
-        RingLog.note("job " + r.job.id + " is let go: " + why);
-        runs.remove(r.job.id);
-        r.over = true;
-        r.request.ifPresent(dispatcher::dropJob);
+    @Override
+    public void onEnded(JobRun run) {
+        runs.remove(run.jobId());
     }
 
-    private void dropAll(String why) {
-        List.copyOf(runs.values()).forEach(r -> letGo(r, why));
-        starting.clear();
+    @Override
+    public void abandon(JobRun run, String reason) {
+        RingLog.note("job " + run.jobId() + " is abandoned: " + reason);
+        runs.remove(run.jobId());
+        run.abandon();
+        run.request().ifPresent(dispatcher::dropJob);
     }
 
+    private void abandonAll(String reason) {
+        List.copyOf(runs.values()).forEach(run -> abandon(run, reason));
+        pending.clear();
+    }
+
+    /** Compares what runs with the listings, and starts what is to run. */
     public void tick() {
-        if (!held.getAsBoolean()) {
+        if (!lease.isHeld()) {
             if (!runs.isEmpty()) {
-                dropAll("the duty is not held");
+                abandonAll("the role is not held");
             }
             return;
         }
-        waits.clear();
-        var seen = new HashSet<String>();
-        lines.forEach(l -> seen.add(l.id));
-        for (var r : List.copyOf(runs.values())) {
-            if (!seen.contains(r.job.id)
-                    && !r.over
-                    && Clocks.nowUs() - r.request.map(e -> e.arrivedUs).orElse(0L) > 2_000_000) {
-                letGo(r, "it is no longer live");
+        waitReasons.clear();
+        abandonUnlisted();
+        listings.stream().filter(this::isMissing).forEach(this::giveBack);
+        listings.stream().filter(this::isStartable).sorted(PICK_ORDER).forEach(this::consider);
+    }
+
+    private void abandonUnlisted() {
+        var listed = new HashSet<String>();
+        listings.forEach(listing -> listed.add(listing.id()));
+        for (var run : List.copyOf(runs.values())) {
+            if (!listed.contains(run.jobId()) && !run.isOver() && ageUs(run) > MIN_UNLISTED_US) {
+                abandon(run, "it is no longer live");
             }
         }
-        lines.stream()
-                .filter(
-                        l ->
-                                l.running
-                                        && l.fence == grant
-                                        && !runs.containsKey(l.id)
-                                        && !starting.contains(l.id))
-                .forEach(this::disown);
-        lines.stream()
-                .filter(
-                        l ->
-                                !runs.containsKey(l.id)
-                                        && !starting.contains(l.id)
-                                        && (!l.running || l.fence < grant))
-                .sorted(
-                        Comparator.comparingInt((Line l) -> -Job.urgency(l.leftUs, l.wholeUs))
-                                .thenComparing(Line::prefix)
-                                .thenComparingLong(Line::leftUs))
-                .forEach(this::consider);
+    }
+
+    private static long ageUs(JobRun run) {
+        return Clocks.nowUs() - run.request().map(request -> request.arrivedUs).orElse(0L);
+    }
+
+    private boolean isKnownHere(JobListing listing) {
+        return runs.containsKey(listing.id()) || pending.contains(listing.id());
+    }
+
+    /** Whether the core has a job as running under our own lease, and it is not known here. */
+    private boolean isMissing(JobListing listing) {
+        return listing.running()
+                && listing.fencingToken() == lease.fencingToken()
+                && !isKnownHere(listing);
+    }
+
+    /** Whether a job waits, or ran under an earlier lease. */
+    private boolean isStartable(JobListing listing) {
+        return !isKnownHere(listing)
+                && (!listing.running() || listing.fencingToken() < lease.fencingToken());
     }
 
     /**
-     * The core has a job as running under our own grant, and it is not in our hands: it was let go
-     * when the lease ran out for a while, or the reply of its start was lost. Nobody else can have
-     * it, so we say how far it came.
+     * A run is missing that was abandoned when the lease ran out for a while, or of whose start the
+     * reply was lost. Nobody else can have it, so we report how far it came.
      */
-    private void disown(Line l) {
-        starting.add(l.id);
-        core.ask(
-                "JOB_BACK",
-                l.id,
-                grant,
-                l.runs,
-                body(new RecordWriter().u8(ran.contains(l.id) ? 1 : 0).text("it was let go")),
-                (s, t) -> later.accept(600_000L, () -> starting.remove(l.id)));
+    private void giveBack(JobListing listing) {
+        var id = listing.id();
+        pending.add(id);
+        reports.giveBack(
+                listing,
+                lease.fencingToken(),
+                ran.contains(id) ? RunFailure.MAY_HAVE_RUN : RunFailure.NOT_RUN,
+                "it was let go",
+                reply -> scheduler.after(GIVEN_BACK_PAUSE_US, () -> pending.remove(id)));
     }
 
-    private void consider(Line l) {
-        var u = Job.urgency(l.leftUs, l.wholeUs);
-        if (runs.size() + starting.size() >= MOST) {
-            waits.put(l.id, "urgency " + u + ": " + MOST + " jobs run already");
+    private void consider(JobListing listing) {
+        var urgency = listing.urgency();
+        if (runs.size() + pending.size() >= MAX_RUNS) {
+            waitReasons.put(
+                    listing.id(), "urgency " + urgency + ": " + MAX_RUNS + " jobs run already");
             return;
         }
-        if (!dispatcher.jobRoom(l.route, u)) {
-            waits.put(l.id, "urgency " + u + ": no room to spare for it");
+        if (!dispatcher.jobRoom(listing.route(), urgency)) {
+            waitReasons.put(listing.id(), "urgency " + urgency + ": no room to spare for it");
             return;
         }
-        starting.add(l.id);
-        var g = grant;
-        core.ask(
-                "JOB_START",
-                l.id,
-                g,
-                l.runs,
-                me,
-                (s, t) -> {
-                    starting.remove(l.id);
-                    if (s == 200 && !t.isEmpty() && held.getAsBoolean() && g == grant) {
-                        run(
-                                Job.read(new RecordReader(Base64.getDecoder().decode(t), false)),
-                                g,
-                                u,
-                                l.leftUs);
-                    }
-                });
+        pending.add(listing.id());
+        var fencingToken = lease.fencingToken();
+        reports.start(
+                listing, fencingToken, reply -> onStarted(listing, urgency, fencingToken, reply));
     }
 
-    private void run(Job j, long g, int urgency, long leftUs) {
-        var r = new Run(j, g);
-        runs.put(j.id, r);
-        ran.add(j.id);
-        started++;
-        var e = dispatcher.startJob(head(j, g, leftUs), j.body, r, urgency, j.lastEvent);
-        r.request = e;
-        if (e.isEmpty()) {
-            r.back(0, "no room when it was to start");
+    private void onStarted(JobListing listing, int urgency, long fencingToken, CoreReply reply) {
+        pending.remove(listing.id());
+        if (reply.isAccepted() && !reply.text().isEmpty() && lease.isHeldWith(fencingToken)) {
+            var encoded = Base64.getDecoder().decode(reply.text());
+            run(Job.read(new RecordReader(encoded, false)), urgency, listing.leftUs());
         }
     }
 
-    private static Head head(Job j, long g, long leftUs) {
-        var h = new Head();
-        h.one = j.method;
-        h.two = j.path;
-        h.three = "HTTP/1.1";
-        h.set("Host", j.host);
-        for (var f : j.fields) {
-            var c = f.indexOf(':');
-            h.set(f.substring(0, c), f.substring(c + 1).strip());
+    private void run(Job job, int urgency, long leftUs) {
+        var run = new JobRun(job, lease, reports, scheduler, this);
+        runs.put(job.id, run);
+        ran.add(job.id);
+        started++;
+        var head = requestHead(job, run.fencingToken(), leftUs);
+        run.setRequest(dispatcher.startJob(head, job.body, run, urgency, job.lastEvent));
+        if (run.request().isEmpty()) {
+            run.reportFailure(RunFailure.NOT_RUN, "no room when it was to start");
         }
-        h.set("X-Attempt-Id", "job-" + j.id + "-" + g + "-" + j.runs);
-        h.set("X-Time-Remaining", String.valueOf(Math.max(2_000, leftUs / 1000)));
-        h.set("Content-Length", String.valueOf(j.body.length));
-        return h;
     }
 
+    private static Head requestHead(Job job, long fencingToken, long leftUs) {
+        var head = new Head();
+        head.one = job.method;
+        head.two = job.path;
+        head.three = "HTTP/1.1";
+        head.set("Host", job.host);
+        for (var field : job.fields) {
+            var colon = field.indexOf(':');
+            head.set(field.substring(0, colon), field.substring(colon + 1).strip());
+        }
+        head.set("X-Attempt-Id", "job-" + job.id + "-" + fencingToken + "-" + job.runs);
+        head.set(
+                "X-Time-Remaining", String.valueOf(Math.max(MIN_TIME_REMAINING_MS, leftUs / 1000)));
+        head.set("Content-Length", String.valueOf(job.body.length));
+        return head;
+    }
+
+    /** For the shell: the lease, then one line for each job. */
     public String text() {
-        var b =
+        var lines =
                 new StringBuilder(
                         String.format(
                                 "grant %d held %s running %d started %d\n",
-                                grant, held.getAsBoolean(), runs.size(), started));
-        lines.forEach(
-                l ->
-                        b.append(
-                                String.format(
-                                        "%s %s left %d ms of %d ms urgency %d %s\n",
-                                        l.id,
-                                        l.running ? "running" : "waiting",
-                                        l.leftUs / 1000,
-                                        l.wholeUs / 1000,
-                                        Job.urgency(l.leftUs, l.wholeUs),
-                                        waits.getOrDefault(l.id, ""))));
-        return b.toString();
+                                lease.fencingToken(), lease.isHeld(), runs.size(), started));
+        for (var listing : listings) {
+            lines.append(
+                    String.format(
+                            "%s %s left %d ms of %d ms urgency %d %s\n",
+                            listing.id(),
+                            listing.running() ? "running" : "waiting",
+                            listing.leftUs() / 1000,
+                            listing.totalUs() / 1000,
+                            listing.urgency(),
+                            waitReasons.getOrDefault(listing.id(), "")));
+        }
+        return lines.toString();
     }
 }
--- a/edge/src/main/java/martenloom/edge/lease/HeldLeases.java
+++ b/edge/src/main/java/martenloom/edge/lease/HeldLeases.java
@@ -5,66 +5,76 @@
 import java.util.TreeMap;
 
 /**
- * The duties that an edge was granted, each until a moment on its own clock. A lease runs from the
- * moment the edge asked for it, less a margin, so that it ends here before the core may grant the
- * duty to another. A grant that is older than the one known changes nothing, however late it comes.
+ * The role leases that an edge was granted, each until a moment on its own clock. A lease runs from
+ * the moment at which the edge requested it, less a margin, so that it ends here before the core
+ * may grant the role to another. A grant with an older fencing token than the one known changes
+ * nothing, however late it comes. No input or output, no clock. Runs on the reactor thread.
  */
 public final class HeldLeases {
+    /** Lost to the difference of the clocks' rates and to the time between check and use. */
     private static final long MARGIN_US = 300_000;
 
-    private record Lease(long grant, long untilUs) {}
+    private record Lease(long fencingToken, long untilUs) {}
+
+    private static final Lease NONE = new Lease(0, 0);
 
     private final Map<String, Lease> leases = new TreeMap<>();
 
     /**
      * Takes a grant or its renewal.
      *
-     * @param askedUs when this edge asked for it; one from the future is none of ours
+     * @param requestedUs when this edge requested it; one from the future is none of ours
      * @return whether it counts
      */
-    public boolean granted(String key, long grant, long askedUs, long leaseUs, long now) {
-        var known = leases.getOrDefault(key, new Lease(0, 0));
-        if (grant < known.grant || askedUs > now) {
+    public boolean onGrant(
+            String role, long fencingToken, long requestedUs, long leaseUs, long now) {
+        var known = leases.getOrDefault(role, NONE);
+        if (fencingToken < known.fencingToken || requestedUs > now) {
             return false;
         }
-        var untilUs = askedUs + leaseUs - MARGIN_US;
+        var untilUs = requestedUs + leaseUs - MARGIN_US;
+        var renewed = fencingToken == known.fencingToken;
         leases.put(
-                key,
-                new Lease(
-                        grant, grant == known.grant ? Math.max(known.untilUs, untilUs) : untilUs));
+                role,
+                new Lease(fencingToken, renewed ? Math.max(known.untilUs, untilUs) : untilUs));
         return true;
     }
 
-    public boolean holds(String key, long now) {
-        return grantInForce(key, now).isPresent();
+    /** Whether the lease of a role runs. */
+    public boolean holds(String role, long now) {
+        return fencingToken(role, now).isPresent();
     }
 
-    /** The grant of a duty while its lease runs. */
-    public Optional<Long> grantInForce(String key, long now) {
-        return Optional.ofNullable(leases.get(key)).filter(l -> now < l.untilUs).map(Lease::grant);
+    /** The fencing token of a role while its lease runs. */
+    public Optional<Long> fencingToken(String role, long now) {
+        return Optional.ofNullable(leases.get(role))
+                .filter(lease -> now < lease.untilUs)
+                .map(Lease::fencingToken);
     }
 
-    /** The duties held now, with their grants. */
-    public Map<String, Long> held(long now) {
+    /** The roles held now, with their fencing tokens; the caller may change the map. */
+    public Map<String, Long> heldRoles(long now) {
         var held = new TreeMap<String, Long>();
         leases.forEach(
-                (key, lease) -> {
+                (role, lease) -> {
                     if (now < lease.untilUs) {
-                        held.put(key, lease.grant);
+                        held.put(role, lease.fencingToken);
                     }
                 });
         return held;
     }
 
-    /** One line for each duty that was ever granted. */
+    /** For the shell: one line for each role that was ever granted. */
     public String text(long now) {
         var lines = new StringBuilder();
         leases.forEach(
-                (key, l) ->
+                (role, lease) ->
                         lines.append(
                                 String.format(
                                         "%s grant %d left %d ms\n",
-                                        key, l.grant, Math.max(0, l.untilUs - now) / 1000)));
+                                        role,
+                                        lease.fencingToken,
+                                        Math.max(0, lease.untilUs - now) / 1000)));
         return lines.toString();
     }
 }
--- a/edge/src/main/java/martenloom/edge/Departure.java
+++ b/edge/src/main/java/martenloom/edge/lifecycle/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package martenloom.edge;
+package martenloom.edge.lifecycle;
 
 import io.activej.eventloop.Eventloop;
 import java.util.concurrent.CountDownLatch;
@@ -9,49 +9,61 @@
 import martenloom.edge.dispatch.RequestDispatcher;
 
 /**
- * The steps of an edge that leaves, from its SIGTERM to its end. Readiness and the directory leave
- * it out at once, but clients go on coming for as long as their lookups hold, so it serves on, and
- * step by step takes less: first only what should end in time, and of that no stream that could be
- * cut in the middle, then nothing. It ends when nobody waits for it any more, or just before it
- * would be killed.
+ * The steps of a graceful shutdown, from the SIGTERM to the end of the process. Readiness and the
+ * directory leave the edge out at once, but clients keep coming for as long as their lookups are
+ * valid, so it serves on and admits less, step by step: first only what should end in time, and of
+ * that no stream that might be truncated, then nothing. It ends when nobody waits for it any more,
+ * or just before it would be killed.
  *
  * <p>All moments follow from the bounds of the deployment and from the rule on requests that are
- * lost beside a SIGTERM: a request sent in the first three seconds may be cut at the end, a later
- * one may not.
+ * lost beside a SIGTERM: a request sent in the first three seconds may be cut off at the end, a
+ * later one may not. Runs on the reactor thread, but for the constructor and {@link #await}.
  */
-final class Departure {
-    /** A request that is whole here by then was surely sent within three seconds of the SIGTERM. */
+public final class GracefulShutdown {
+    private static final long US_PER_SECOND = 1_000_000;
+
+    /**
+     * A request that is complete here by then was surely sent within three seconds of the SIGTERM.
+     */
     private static final long CUT_FORGIVEN_US = 2_800_000;
 
-    /** What is left of the grace period when all that is still in hand is ended. */
+    /** What is left of the grace period when all that is still in flight is ended. */
     private static final long END_BEFORE_KILL_US = 700_000;
 
-    /** What is left of it when this process ends, whatever it holds. */
+    /** What is left of it when this process ends, whatever is in flight. */
     private static final long EXIT_BEFORE_KILL_US = 300_000;
 
     /** A request must be able to end this long before the others are ended: timers fire late. */
-    private static final long SPARE_US = 200_000;
+    private static final long TIMER_MARGIN_US = 200_000;
 
     /**
-     * How long before that it begins to look for a moment at which it holds nothing, if lookups
-     * hold for as long.
+     * How long before that it begins to look for a moment at which nothing is in flight, if lookups
+     * are valid for as long.
      */
-    private static final long CLOSING_UP_US = 1_000_000;
+    private static final long DRAIN_BEFORE_END_US = 1_000_000;
 
     private static final long POLL_US = 20_000;
 
     private final Eventloop loop;
     private final RequestDispatcher dispatcher;
     private final Runnable stopListening;
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch ended = new CountDownLatch(1);
     private final long startUs = Clocks.nowUs();
+
+    // ---- the moments of the steps, in microseconds from the start
+
     private final long closeConnectionsUs;
     private final long limitRequestsUs;
-    private final long endWhenFreeUs;
+    private final long endWhenIdleUs;
     private final long endAllUs;
     private final long exitUs;
 
-    Departure(
+    /**
+     * Plans the steps.
+     *
+     * @param stopListening closes the listener for clients
+     */
+    public GracefulShutdown(
             Eventloop loop,
             RequestDispatcher dispatcher,
             Settings.Bounds bounds,
@@ -59,49 +71,51 @@
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.stopListening = stopListening;
-        var graceUs = (long) (bounds.graceS * 1e6);
+        var graceUs = (long) (bounds.graceS * US_PER_SECOND);
         limitRequestsUs = Math.min(CUT_FORGIVEN_US, graceUs / 2);
         closeConnectionsUs = Math.max(0, limitRequestsUs - ClientConnection.IDLE_WHILE_LEAVING_US);
         endAllUs = Math.max(0, graceUs - END_BEFORE_KILL_US);
-        endWhenFreeUs =
+        endWhenIdleUs =
                 Math.max(
                         limitRequestsUs,
-                        Math.min((long) (bounds.ttlMaxS * 1e6), endAllUs - CLOSING_UP_US));
+                        Math.min(
+                                (long) (bounds.ttlMaxS * US_PER_SECOND),
+                                endAllUs - DRAIN_BEFORE_END_US));
         exitUs = Math.max(0, graceUs - EXIT_BEFORE_KILL_US);
     }
 
-    /** Called on the reactor. */
-    void begin() {
+    /** Schedules the steps. */
+    public void begin() {
         at(closeConnectionsUs, dispatcher::closeConnections);
-        at(limitRequestsUs, () -> dispatcher.takeOnlyUntil(startUs + endAllUs - SPARE_US));
-        at(endWhenFreeUs, this::endWhenFree);
+        at(limitRequestsUs, () -> dispatcher.takeOnlyUntil(startUs + endAllUs - TIMER_MARGIN_US));
+        at(endWhenIdleUs, this::endWhenIdle);
         at(endAllUs, this::endAll);
     }
 
     /** Called on another thread; returns when the process may end. */
-    void await() {
+    public void await() {
         try {
-            over.await(startUs + exitUs - Clocks.nowUs(), TimeUnit.MICROSECONDS);
+            ended.await(startUs + exitUs - Clocks.nowUs(), TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void at(long us, Runnable step) {
-        Clocks.after(loop, Math.max(0, startUs + us - Clocks.nowUs()), step);
+    private void at(long sinceStartUs, Runnable step) {
+        Clocks.after(loop, Math.max(0, startUs + sinceStartUs - Clocks.nowUs()), step);
     }
 
     private void endAll() {
-        takeNothing();
+        admitNothing();
         dispatcher.endAll();
     }
 
-    private void endWhenFree() {
+    private void endWhenIdle() {
         if (dispatcher.holdsAnything()) {
-            Clocks.after(loop, POLL_US, this::endWhenFree);
+            Clocks.after(loop, POLL_US, this::endWhenIdle);
             return;
         }
-        takeNothing();
+        admitNothing();
         loop.post(this::endOrFinish);
     }
 
@@ -111,11 +125,11 @@
         if (dispatcher.holdsAnything()) {
             Clocks.after(loop, POLL_US, this::endOrFinish);
         } else {
-            over.countDown();
+            ended.countDown();
         }
     }
 
-    private void takeNothing() {
+    private void admitNothing() {
         stopListening.run();
         dispatcher.takeOnlyUntil(0);
     }
--- a/edge/src/main/java/martenloom/edge/overload/PressureEstimator.java
+++ b/edge/src/main/java/martenloom/edge/overload/PressureEstimator.java
@@ -2,7 +2,6 @@
 
 import martenloom.common.settings.Settings;
 import martenloom.edge.replica.LatencyPredictor;
-import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.RoutingView;
 
@@ -28,11 +27,11 @@
         var known = 0;
         var available = 0;
         for (var replica : replicaTable.all()) {
-            if (!serves(replica, model)) {
+            if (!replica.region().equals(settings.region) || !routing.servesModel(replica, model)) {
                 continue;
             }
             known++;
-            if (isAvailable(replica)) {
+            if (!replica.isUnloaded() && routing.isInService(replica)) {
                 sumUs +=
                         replica.reachability().isSuspected(now)
                                 ? targetUs
@@ -62,19 +61,4 @@
         }
         return targetUs;
     }
-
-    private boolean serves(ReplicaEndpoint replica, String model) {
-        var service = routing.table().services.get(replica.service());
-        return service != null
-                && service.engine
-                && service.model.equals(model)
-                && replica.region().equals(settings.region);
-    }
-
-    private boolean isAvailable(ReplicaEndpoint replica) {
-        return !replica.isDeregistered()
-                && replica.isAvailable()
-                && !replica.isUnloaded()
-                && !routing.evacuated().contains(replica.zone());
-    }
 }
--- a/edge/src/main/java/martenloom/edge/replica/RoutingView.java
+++ b/edge/src/main/java/martenloom/edge/replica/RoutingView.java
@@ -13,4 +13,17 @@
 
     /** The zones from which requests are kept away. */
     Set<String> evacuated();
+
+    /** Whether a replica is an engine that serves a model. */
+    default boolean servesModel(ReplicaEndpoint replica, String model) {
+        var service = table().services.get(replica.service());
+        return service != null && service.engine && service.model.equals(model);
+    }
+
+    /** Whether a replica takes requests, as far as the registry and the evacuations go. */
+    default boolean isInService(ReplicaEndpoint replica) {
+        return replica.isAvailable()
+                && !replica.isDeregistered()
+                && !evacuated().contains(replica.zone());
+    }
 }
--- a/launcher/src/main/java/martenloom/launcher/Launcher.java
+++ b/launcher/src/main/java/martenloom/launcher/Launcher.java
@@ -90,7 +90,7 @@
         p.need("Readiness");
         var n = new EdgeDaemon(p, loop, scaling);
         loop.execute(() -> starting(() -> n.start()));
-        Runtime.getRuntime().addShutdownHook(new Thread(n::leave, "leave"));
+        Runtime.getRuntime().addShutdownHook(new Thread(n::shutDown, "leave"));
     }
 
     private static void core(Settings p, Eventloop loop) throws IOException {
--- a/launcher/src/test/java/martenloom/launcher/CoreTest.java
+++ b/launcher/src/test/java/martenloom/launcher/CoreTest.java
@@ -417,7 +417,7 @@
             a.workMs = 1200;
             var in = CompletableFuture.supplyAsync(() -> t.request(0, "/once/x", "inhand", "", ""));
             t.askUntil(t.edge(0), "counters", "in-hand 1");
-            var gone = CompletableFuture.runAsync(n::leave);
+            var gone = CompletableFuture.runAsync(n::shutDown);
             t.askUntil(t.core(0), "members", "leaving");
             var l =
                     t.operator(
--- a/launcher/src/test/java/martenloom/launcher/LeavingTest.java
+++ b/launcher/src/test/java/martenloom/launcher/LeavingTest.java
@@ -111,7 +111,7 @@
             var in = ask(s, TestHttpClient.request("/o/stream", "l1", MODEL, "p"));
             halted("l1");
             var began = System.nanoTime();
-            var over = CompletableFuture.runAsync(edge::leave);
+            var over = CompletableFuture.runAsync(edge::shutDown);
             while (t.readiness(0) == 200) {
                 assertFalse(over.isDone());
             }
@@ -144,7 +144,7 @@
         plain.workMs = 2000;
         assertEquals(200, t.request(0, "/safe/x", "r1", "", "").status);
         var began = System.nanoTime();
-        var over = CompletableFuture.runAsync(edge::leave);
+        var over = CompletableFuture.runAsync(edge::shutDown);
         plain.workMs = 0;
         while (System.nanoTime() - began < LATE_NS) {
             t.ask(t.edge(0), "counters");
@@ -176,7 +176,7 @@
             halted("k2");
             halted("k3");
             var began = System.nanoTime();
-            var over = CompletableFuture.runAsync(edge::leave);
+            var over = CompletableFuture.runAsync(edge::shutDown);
             var inLate = new BufferedInputStream(late.getInputStream());
             while (System.nanoTime() - began < LATE_NS) {
                 t.ask(t.edge(0), "counters");
--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -628,10 +628,7 @@
         }
         s.readyEdges = (int) edges.stream().filter(e -> e.whenReady().getNow(false)).count();
         s.replicasKnown =
-                edges.stream()
-                        .mapToLong(e -> e.dispatcher().replicaTable.all().size())
-                        .min()
-                        .orElse(0);
+                edges.stream().mapToLong(e -> e.replicaTable().all().size()).min().orElse(0);
         s.edgesHeard = edges.stream().mapToInt(EdgeDaemon::edgesHeard).min().orElse(0);
         System.gc();
         s.heapMb = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() / 1e6;
