--- a/edge/src/main/java/martenloom/edge/Departure.java
+++ b/edge/src/main/java/martenloom/edge/Departure.java
@@ -61,7 +61,8 @@
         this.stopListening = stopListening;
         var graceUs = (long) (bounds.graceS * 1e6);
         limitRequestsUs = Math.min(CUT_FORGIVEN_US, graceUs / 2);
-        closeConnectionsUs = Math.max(0, limitRequestsUs - ClientConnection.IDLE_WHILE_LEAVING_US);
+        closeConnectionsUs =
+                Math.max(0, limitRequestsUs - ClientConnection.MAX_IDLE_IN_SHUTDOWN_US);
         endAllUs = Math.max(0, graceUs - END_BEFORE_KILL_US);
         endWhenFreeUs =
                 Math.max(
@@ -72,8 +73,8 @@
 
     /** Called on the reactor. */
     void begin() {
-        at(closeConnectionsUs, dispatcher::closeConnections);
-        at(limitRequestsUs, () -> dispatcher.takeOnlyUntil(startUs + endAllUs - SPARE_US));
+        at(closeConnectionsUs, dispatcher::beginClosingConnections);
+        at(limitRequestsUs, () -> dispatcher.admitOnlyUntil(startUs + endAllUs - SPARE_US));
         at(endWhenFreeUs, this::endWhenFree);
         at(endAllUs, this::endAll);
     }
@@ -93,11 +94,11 @@
 
     private void endAll() {
         takeNothing();
-        dispatcher.endAll();
+        dispatcher.terminateAll();
     }
 
     private void endWhenFree() {
-        if (dispatcher.holdsAnything()) {
+        if (dispatcher.hasPendingWork()) {
             Clocks.after(loop, POLL_US, this::endWhenFree);
             return;
         }
@@ -107,8 +108,8 @@
 
     /** What was read in the very moment in which the listener closed is still finished. */
     private void endOrFinish() {
-        dispatcher.closeIdle();
-        if (dispatcher.holdsAnything()) {
+        dispatcher.closeIdleConnections();
+        if (dispatcher.hasPendingWork()) {
             Clocks.after(loop, POLL_US, this::endOrFinish);
         } else {
             over.countDown();
@@ -117,6 +118,6 @@
 
     private void takeNothing() {
         stopListening.run();
-        dispatcher.takeOnlyUntil(0);
+        dispatcher.admitOnlyUntil(0);
     }
 }
--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -34,6 +34,7 @@
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
 import martenloom.edge.overload.Overload;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.language.RoutingLanguage;
@@ -279,7 +280,7 @@
         edgesNow = in.i32();
         mostEdges = Math.max(mostEdges, edgesNow);
         home.onCores(in.texts(), staleUs);
-        dispatcher.onEdges(mostEdges);
+        dispatcher.onEdgeCount(mostEdges);
         jobsLive = in.flag();
         replicaTable.lent(
                 home.ip(),
@@ -326,12 +327,12 @@
         var newRevision = in.i64();
         var routingText = in.text();
         var evacuated = in.texts();
-        var placed = new TreeMap<String, ScaleRunner.Placed>();
+        var placed = new TreeMap<String, ReplicaPlacement>();
         in.list(
                 item ->
                         placed.put(
                                 item.text(),
-                                new ScaleRunner.Placed(
+                                new ReplicaPlacement(
                                         item.i32(), item.flag(), new TreeSet<>(item.texts()))));
         if (newEdition <= edition || newRevision < revision) {
             return;
@@ -352,9 +353,9 @@
                         + newRevision
                         + " from home "
                         + home.ip());
-        dispatcher.onPlaced(placed);
+        dispatcher.onPlacements(placed);
         scaler.onPlaced(placed);
-        dispatcher.onEvacuated(Set.copyOf(evacuated), Clocks.nowUs());
+        dispatcher.onEvacuatedZones(Set.copyOf(evacuated), Clocks.nowUs());
     }
 
     private void onReplicas(RecordReader in) {
@@ -419,7 +420,7 @@
 
     private void onReport(Overload.Report report) {
         if (!report.region().equals(settings.region)) {
-            dispatcher.reports.take(report, Clocks.nowUs());
+            dispatcher.overloadReports().take(report, Clocks.nowUs());
         }
     }
 
--- a/edge/src/main/java/martenloom/edge/LoadView.java
+++ b/edge/src/main/java/martenloom/edge/LoadView.java
@@ -61,9 +61,9 @@
                 l.heard = !doubt && now - s.heardUs < HEARD_US ? 1 : 0;
             }
         }
-        dispatcher.inFlight(t);
+        dispatcher.addRequestsInFlight(t);
         var b = t.write(new RecordWriter()).bytes();
-        if (Arrays.equals(b, last) && dispatcher.places.told() && ++quiet < QUIET_TURNS) {
+        if (Arrays.equals(b, last) && dispatcher.prefixOwners().told() && ++quiet < QUIET_TURNS) {
             return Optional.empty();
         }
         quiet = 0;
@@ -73,7 +73,7 @@
             told.remove(told.keySet().iterator().next());
         }
         var o = t.write(new RecordWriter(RecordType.LOAD_SAMPLE).text(ip).i64(life).i64(seq));
-        dispatcher.places.write(o);
+        dispatcher.prefixOwners().write(o);
         return Optional.of(o.bytes());
     }
 
@@ -81,7 +81,7 @@
         var mine = told.getOrDefault(in.i64(), new LoadSummary());
         whole = LoadSummary.read(in);
         wholeUs = now;
-        dispatcher.places.read(in);
+        dispatcher.prefixOwners().read(in);
         var zone = LoadSummary.read(in);
         for (var s : replicaTable.all()) {
             var a = whole.load(s.row.id);
--- a/edge/src/main/java/martenloom/edge/OverloadReporting.java
+++ b/edge/src/main/java/martenloom/edge/OverloadReporting.java
@@ -82,7 +82,7 @@
         var sum = 0.0;
         var n = 0;
         var known = 0;
-        for (var s : dispatcher.replicaTable.all()) {
+        for (var s : dispatcher.replicaTable().all()) {
             var svc = t.services.get(s.row.service);
             if (svc == null
                     || !svc.engine
@@ -95,7 +95,7 @@
                     || s.row.draining
                     || s.row.silent
                     || s.resting
-                    || dispatcher.evacuated().contains(s.row.zone)) {
+                    || dispatcher.evacuatedZones().contains(s.row.zone)) {
                 continue;
             }
             var in = s.mine + s.othersInHand(now);
--- a/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
+++ b/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
@@ -69,7 +69,7 @@
     }
 
     private boolean hasReplicaInRegion(RouteTable.Service service) {
-        return dispatcher.replicaTable.of(service.name).stream()
+        return dispatcher.replicaTable().of(service.name).stream()
                 .anyMatch(slot -> slot.region.equals(settings.region));
     }
 
--- a/edge/src/main/java/martenloom/edge/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/ShellQueries.java
@@ -56,7 +56,7 @@
             case "home" -> home.get();
             case "jobs" -> jobs.text();
             case "scaling" -> scaler.text(now);
-            case "places" -> dispatcher.places.text(PLACE_LINES);
+            case "places" -> dispatcher.prefixOwners().text(PLACE_LINES);
             case "traffic" -> LinkTraffic.text();
             case "log" -> RingLog.tail(LOG_LINES);
             default ->
@@ -66,33 +66,33 @@
     }
 
     private String counters() {
-        var counters = dispatcher.counters;
+        var counters = dispatcher.counters();
         return String.format(
                 "requests %d served %d refused %d failed %d repeats %d spilled %d"
                         + " timeouts %d moved %d jobs %d in-hand %d connections %d"
                         + " edges %d\n",
-                counters.requests,
-                counters.served,
-                counters.refused,
-                counters.failed,
-                counters.repeats,
+                counters.requests(),
+                counters.served(),
+                counters.rejected(),
+                counters.failed(),
+                counters.retried(),
                 dispatcher.spilled(),
-                counters.timeouts,
-                counters.moved,
-                counters.jobs,
-                dispatcher.inHand(),
-                dispatcher.connections(),
-                dispatcher.edges());
+                counters.timedOut(),
+                counters.moved(),
+                counters.jobs(),
+                dispatcher.requestsInFlight(),
+                dispatcher.clientConnections(),
+                dispatcher.edgeCount());
     }
 
     private String overload(long now) {
         var lines = new StringBuilder();
         dispatcher
-                .reports
+                .overloadReports()
                 .states()
                 .forEach(
                         (key, state) -> {
-                            dispatcher.reports.tick(state, now);
+                            dispatcher.overloadReports().tick(state, now);
                             lines.append(overloadState(key, state));
                             state.report.ifPresent(
                                     report ->
@@ -131,7 +131,7 @@
 
     private String replicas(long now) {
         var lines = new StringBuilder();
-        dispatcher.replicaTable.all().forEach(slot -> lines.append(replica(slot, now)));
+        dispatcher.replicaTable().all().forEach(slot -> lines.append(replica(slot, now)));
         return lines.toString();
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -1,367 +1,403 @@
 package martenloom.edge.dispatch;
 
+import io.activej.eventloop.Eventloop;
+import io.activej.net.socket.tcp.ITcpSocket;
 import io.activej.net.socket.tcp.TcpSocket;
 import io.activej.reactor.net.SocketSettings;
 import java.io.ByteArrayOutputStream;
-import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 import java.util.Locale;
 import java.util.Optional;
 import martenloom.common.clock.Clocks;
-import martenloom.edge.http.Head;
+import martenloom.edge.http.EventStreamReader;
+import martenloom.edge.http.HeaderField;
+import martenloom.edge.http.HttpStatus;
+import martenloom.edge.http.MessageHead;
+import martenloom.edge.replica.InFlightAttempt;
 import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.transport.ReplicaConnection;
+import martenloom.edge.transport.ResponseListener;
 
 /**
- * One attempt of an request at one replica: opens or takes a connection, sends the request, and
- * turns the answer into events for the dispatcher. What came to nothing is told by how far it got,
- * for that decides whether another attempt is allowed.
+ * One attempt of a request at one replica: takes or opens a connection, sends the request, and
+ * turns the response into events for its listener. It decides nothing about what follows; a failure
+ * is told by how far the attempt got, for that decides whether a retry is allowed.
+ *
+ * <p>States: {@code CONNECTING} → {@code SENT} → {@code RESPONDING} with the head of the response;
+ * {@code OVER} from any state and for good. The listener is told of exactly one end ({@code
+ * onStreamEnd}, {@code onResponse} or {@code onFailed}), or of none after {@link #abandon}. Runs on
+ * the reactor thread.
  */
-public final class Attempt {
+public final class Attempt implements ResponseListener, InFlightAttempt {
     /** How far an attempt has come; exactly one at any time. */
-    public enum State {
-        OPENING,
+    enum State {
+        CONNECTING,
         SENT,
-        ANSWERING,
+        RESPONDING,
         OVER
     }
 
-    /**
-     * How a attempt failed: never sent; turned away unrun; perhaps run; cut in the middle of a
-     * stream.
-     */
-    public enum Failure {
+    /** How an attempt failed. */
+    enum Failure {
+        /** The request was never sent. */
         UNSENT,
-        UNRUN,
+        /** The replica rejected it without running it. */
+        REJECTED,
+        /** The replica may have run it. */
         MAYBE_RUN,
-        CUT
+        /** Its stream was truncated. */
+        TRUNCATED
     }
 
     /** Is told what becomes of an attempt. */
-    public interface Owner {
-        void onStreamHead(Attempt l, Head h);
+    interface Listener {
+        void onStreamHead(Attempt attempt, MessageHead head);
+
+        /** Complete events, with the id of the last of them that has one. */
+        void onEvents(Attempt attempt, byte[] events, String lastEventId);
 
-        void onEvents(Attempt l, byte[] b, String lastId);
+        /** The stream is complete; what came behind the last event is passed on as it is. */
+        void onStreamEnd(Attempt attempt, byte[] remainder);
 
-        void onStreamEnd(Attempt l, byte[] rest);
+        /** A complete response that is no stream. */
+        void onResponse(Attempt attempt, MessageHead head, byte[] body);
 
-        void onWhole(Attempt l, Head h, byte[] body);
+        /** The attempt came to nothing; the head is there if the replica rejected it. */
+        void onFailed(Attempt attempt, Failure failure, Optional<MessageHead> head);
 
-        void onFailed(Attempt l, Failure f, Optional<Head> h);
+        /** The replica has said nothing for longer than its load explains. */
+        void onReplicaUnresponsive(Attempt attempt, long nowUs);
     }
 
-    private static final SocketSettings SOCKET =
+    private static final SocketSettings SOCKET_SETTINGS =
             SocketSettings.builder().withTcpNoDelay(true).build();
 
     /**
      * What may run only once goes on a connection that was used just now, or on a new one: an old
-     * one may have been forgotten.
+     * one may have been forgotten by the replica.
      */
-    private static final long ONCE_IDLE_US = 2_000_000;
-
-    private static final byte[] NONE = new byte[0];
-
-    public final Request request;
-    public final ReplicaTable.Slot slot;
-    private final Owner owner;
-    public final int unread;
-    public int aheadTokens;
-    public int ownTokens;
-    public long sentUs;
-    public long firstUs;
-    public long startUs;
-    public boolean counted = true;
-    private State state = State.OPENING;
-    private Optional<ReplicaConnection> wire = Optional.empty();
-    private Optional<Head> head = Optional.empty();
-    private boolean stream;
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
-    private byte[] pend = NONE;
-    private long after = -1;
-
-    public Attempt(Request e, ReplicaTable.Slot s, int unread, Owner o) {
-        request = e;
-        slot = s;
-        owner = o;
-        this.unread = unread;
-    }
-
-    public State state() {
-        return state;
-    }
-
-    public boolean started() {
-        return firstUs > 0;
-    }
-
-    public void start(io.activej.eventloop.Eventloop loop, long connectMs) {
-        startUs = Clocks.nowUs();
-        wire = takeIdle();
-        if (wire.isPresent()) {
-            send(wire.get());
+    private static final long MAX_IDLE_IF_NOT_IDEMPOTENT_US = 2_000_000;
+
+    private static final double ROUND_TRIP_SMOOTHING = 0.3;
+    private static final long LEAST_LEFT_MS = 1;
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final int USUAL_BODY_BYTES = 256;
+
+    private final Request request;
+    private final ReplicaTable.Slot replica;
+    private final Listener listener;
+
+    /** Tokens of the prompt that this attempt adds to what the replica has to prefill. */
+    private final int pendingPrefillTokens;
+
+    /** Tokens that were waiting for prefill at the replica before this attempt. */
+    private final int tokensAhead;
+
+    /** Tokens of the prompt that the replica certainly has to prefill. */
+    private final int certainPrefillTokens;
+
+    private State state = State.CONNECTING;
+    private Optional<ReplicaConnection> connection = Optional.empty();
+
+    /** Whether it still counts in the load of its replica. */
+    private boolean countedInLoad = true;
+
+    private long startedUs;
+    private long sentUs;
+    private long firstEventUs;
+
+    /** The event behind which the replica was asked to go on. */
+    private long resumeAfterId = EventStreamReader.NO_ID;
+
+    private Optional<MessageHead> head = Optional.empty();
+
+    /** The body if it is a stream of events. */
+    private Optional<EventStreamReader> eventStream = Optional.empty();
+
+    /** The body so far if it is no stream. */
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream(USUAL_BODY_BYTES);
+
+    Attempt(
+            Request request,
+            ReplicaTable.Slot replica,
+            Listener listener,
+            int pendingPrefillTokens,
+            int tokensAhead,
+            int certainPrefillTokens) {
+        this.request = request;
+        this.replica = replica;
+        this.listener = listener;
+        this.pendingPrefillTokens = pendingPrefillTokens;
+        this.tokensAhead = tokensAhead;
+        this.certainPrefillTokens = certainPrefillTokens;
+    }
+
+    // ---- what it is
+
+    Request request() {
+        return request;
+    }
+
+    ReplicaTable.Slot replica() {
+        return replica;
+    }
+
+    int tokensAhead() {
+        return tokensAhead;
+    }
+
+    int certainPrefillTokens() {
+        return certainPrefillTokens;
+    }
+
+    boolean over() {
+        return state == State.OVER;
+    }
+
+    @Override
+    public boolean connecting() {
+        return state == State.CONNECTING;
+    }
+
+    @Override
+    public boolean prefilled() {
+        return firstEventUs > 0;
+    }
+
+    @Override
+    public long sentUs() {
+        return sentUs;
+    }
+
+    long firstEventUs() {
+        return firstEventUs;
+    }
+
+    /** The first event has come: the prompt's tokens wait for prefill no longer. */
+    void endPrefill() {
+        firstEventUs = Clocks.nowUs();
+        replica.unread -= pendingPrefillTokens;
+    }
+
+    @Override
+    public void onReplicaUnresponsive(long nowUs) {
+        listener.onReplicaUnresponsive(this, nowUs);
+    }
+
+    // ---- sending
+
+    /** Takes an idle connection or opens one, and sends the request on it. */
+    void start(Eventloop loop, long connectTimeoutMs) {
+        startedUs = Clocks.nowUs();
+        connection = takeIdleConnection();
+        if (connection.isPresent()) {
+            send(connection.get());
             return;
         }
-        slot.open++;
-        TcpSocket.connect(loop, slot.address, connectMs, SOCKET)
-                .subscribe(
-                        (s, x) -> {
-                            if (x != null) {
-                                slot.open--;
-                                fail(Failure.UNSENT);
-                            } else if (state != State.OPENING) {
-                                slot.open--;
-                                s.close();
-                            } else {
-                                var rtt = Clocks.nowUs() - startUs;
-                                slot.rttUs += (rtt - slot.rttUs) * 0.3;
-                                var w = new ReplicaConnection(s, slot);
-                                wire = Optional.of(w);
-                                send(w);
-                            }
-                        });
+        replica.open++;
+        TcpSocket.connect(loop, replica.address, connectTimeoutMs, SOCKET_SETTINGS)
+                .subscribe(this::onConnected);
+    }
+
+    private void onConnected(ITcpSocket socket, Exception failure) {
+        if (failure != null) {
+            replica.open--;
+            fail(Failure.UNSENT);
+        } else if (state != State.CONNECTING) {
+            replica.open--;
+            socket.close();
+        } else {
+            var roundTripUs = Clocks.nowUs() - startedUs;
+            replica.rttUs += (roundTripUs - replica.rttUs) * ROUND_TRIP_SMOOTHING;
+            var opened = new ReplicaConnection(socket, replica);
+            connection = Optional.of(opened);
+            send(opened);
+        }
     }
 
     /**
-     * An open connection that this request may go out on; those that have become useless are closed
-     * on the way.
+     * An idle connection that this request may be sent on; those that have become useless are
+     * closed on the way.
      */
-    private Optional<ReplicaConnection> takeIdle() {
-        var trustUs =
-                request.route.repeatable()
-                        ? slot.idleTrustUs()
-                        : Math.min(ONCE_IDLE_US, slot.idleTrustUs());
-        for (var i = slot.idle.iterator(); i.hasNext(); ) {
-            var w = i.next();
-            if (w.lastServed(request.id)) {
+    private Optional<ReplicaConnection> takeIdleConnection() {
+        var maxIdleUs =
+                request.route().repeatable()
+                        ? replica.idleTrustUs()
+                        : Math.min(MAX_IDLE_IF_NOT_IDEMPOTENT_US, replica.idleTrustUs());
+        for (var idle = replica.idle.iterator(); idle.hasNext(); ) {
+            var candidate = idle.next();
+            if (candidate.lastCarried(request.id())) {
                 continue;
             }
-            i.remove();
-            if (w.usable(startUs) && w.idleUs(startUs) < trustUs) {
-                return Optional.of(w);
+            idle.remove();
+            if (candidate.usable(startedUs) && candidate.idleUs(startedUs) < maxIdleUs) {
+                return Optional.of(candidate);
             }
-            w.close();
+            candidate.close();
         }
         return Optional.empty();
     }
 
-    private void send(ReplicaConnection w) {
+    private void send(ReplicaConnection usable) {
         var now = Clocks.nowUs();
-        var left = (Math.min(request.clientUs, request.deadlineUs) - now) / 1000;
-        if (left < 1) {
-            slot.idle.addFirst(w);
-            wire = Optional.empty();
+        var leftMs = (Math.min(request.clientDeadlineUs(), request.deadlineUs()) - now) / 1000;
+        if (leftMs < LEAST_LEFT_MS) {
+            replica.idle.addFirst(usable);
+            connection = Optional.empty();
             fail(Failure.UNSENT);
             return;
         }
-        var h = request.head.copy();
-        h.dropHop();
-        h.drop("Expect");
-        h.set("X-Time-Remaining", String.valueOf(left));
-        h.set("X-Target-Instance", slot.row.id);
-        if (!request.model.isEmpty()) {
-            h.set(
-                    "X-Request-Priority",
-                    String.valueOf(
-                            request.deferred > 2
-                                    ? 8
-                                    : request.deferred > 0
-                                            ? 9
-                                            : Math.min(7, request.route.rank * 3)));
-        }
-        if (!request.lastEvent.isEmpty()) {
-            h.set("Last-Event-Id", request.lastEvent);
-            after = number(request.lastEvent);
-        }
-        if (request.body.length > 0
-                || request.head.has("Content-Length")
-                || request.head.has("Transfer-Encoding")) {
-            h.set("Content-Length", String.valueOf(request.body.length));
-        }
-        h.three = "HTTP/1.1";
+        resumeAfterId = EventStreamReader.parseId(request.lastEventId());
+        var forwardedHead = ForwardedHead.of(request, replica.row.id, leftMs);
         state = State.SENT;
         sentUs = now;
-        slot.sentAt(now);
-        if (slot.quietSinceUs == 0) {
-            slot.quietSinceUs = now;
-        }
-        w.send(this, h.bytes(), request.body);
-    }
-
-    public void onHead(Head h) {
-        state = State.ANSWERING;
-        head = Optional.of(h);
-        var run = !h.has("X-Not-Executed") && h.status() != 421;
-        stream =
-                run
-                        && h.status() == 200
-                        && h.get("Content-Type")
-                                .toLowerCase(Locale.ROOT)
-                                .startsWith("text/event-stream")
-                        && h.has("X-Server-Seal");
-        if (stream) {
-            owner.onStreamHead(this, h);
+        replica.sentAt(now);
+        if (replica.quietSinceUs == 0) {
+            replica.quietSinceUs = now;
         }
+        usable.send(
+                request.id(),
+                request.head().method(),
+                forwardedHead.encode(),
+                request.body(),
+                this);
     }
 
-    public void onBody(byte[] b, int from, int n) {
-        if (state == State.OVER) {
-            return;
-        }
-        if (!stream) {
-            if (body.size() + n > 16 << 20) {
-                broken();
-                return;
-            }
-            body.write(b, from, n);
-            return;
-        }
-        var all = Arrays.copyOf(pend, pend.length + n);
-        System.arraycopy(b, from, all, pend.length, n);
-        var end = events(all);
-        pend = end == 0 ? all : Arrays.copyOfRange(all, end, all.length);
-        if (end > 0) {
-            var fresh = fresh(all, end);
-            if (fresh.length > 0) {
-                owner.onEvents(this, fresh, lastId(fresh, fresh.length));
-            }
-        }
-    }
+    // ---- the response
 
-    /**
-     * On a stream that goes on: the events behind the last one passed on, should the replica send
-     * some again.
-     */
-    private byte[] fresh(byte[] b, int end) {
-        if (after < 0) {
-            return Arrays.copyOf(b, end);
-        }
-        var at = 0;
-        while (at < end) {
-            var s = new String(b, at, end - at, StandardCharsets.ISO_8859_1);
-            var n = s.indexOf("\n\n");
-            var one = n < 0 ? s : s.substring(0, n + 2);
-            var id = number(lastId(one.getBytes(StandardCharsets.ISO_8859_1), one.length()));
-            if (id > after || id < 0) {
-                after = -1;
-                break;
-            }
-            at += one.length();
+    @Override
+    public void onHead(MessageHead responseHead) {
+        state = State.RESPONDING;
+        head = Optional.of(responseHead);
+        if (isEventStream(responseHead)) {
+            eventStream = Optional.of(new EventStreamReader(resumeAfterId));
+            listener.onStreamHead(this, responseHead);
         }
-        return Arrays.copyOfRange(b, at, end);
     }
 
-    private static long number(String s) {
-        try {
-            return s.isEmpty() ? -1 : Long.parseLong(s);
-        } catch (NumberFormatException e) {
-            return -1;
-        }
+    private static boolean isEventStream(MessageHead head) {
+        return !isRejection(head)
+                && head.status() == HttpStatus.OK
+                && head.get(HeaderField.CONTENT_TYPE)
+                        .toLowerCase(Locale.ROOT)
+                        .startsWith("text/event-stream")
+                && head.has(HeaderField.SERVER_SEAL);
     }
 
-    private static int events(byte[] b) {
-        for (var i = b.length - 1; i > 0; i--) {
-            if (b[i] == '\n'
-                    && (b[i - 1] == '\n' || i > 2 && b[i - 1] == '\r' && b[i - 2] == '\n')) {
-                return i + 1;
-            }
-        }
-        return 0;
+    /** Whether the replica says that it has not run the request. */
+    private static boolean isRejection(MessageHead head) {
+        return head.has(HeaderField.NOT_EXECUTED)
+                || head.status() == HttpStatus.MISDIRECTED_REQUEST;
     }
 
-    private static String lastId(byte[] b, int end) {
-        var s = new String(b, 0, end, StandardCharsets.ISO_8859_1);
-        var i =
-                s.startsWith("id:")
-                        ? Math.max(0, s.lastIndexOf("\nid:") + 1)
-                        : s.lastIndexOf("\nid:") + 1;
-        if (i == 0 && !s.startsWith("id:")) {
-            return "";
+    @Override
+    public void onBody(byte[] buffer, int offset, int length) {
+        if (state == State.OVER) {
+            return;
+        }
+        if (eventStream.isPresent()) {
+            var events = eventStream.get().read(buffer, offset, length);
+            if (events.length > 0) {
+                listener.onEvents(this, events, EventStreamReader.lastId(events));
+            }
+        } else if (body.size() + length > MAX_BODY_BYTES) {
+            failAndAbandonConnection();
+        } else {
+            body.write(buffer, offset, length);
         }
-        var e = s.indexOf('\n', i);
-        return s.substring(i + 3, e).strip();
     }
 
+    @Override
     public void onEnd() {
         if (state == State.OVER) {
             return;
         }
         state = State.OVER;
-        wire = Optional.empty();
-        if (stream) {
-            owner.onStreamEnd(this, pend);
+        connection = Optional.empty();
+        if (eventStream.isPresent()) {
+            listener.onStreamEnd(this, eventStream.get().incomplete());
             return;
         }
-        var h = head.get();
-        if (h.has("X-Not-Executed") || h.status() == 421) {
-            owner.onFailed(this, Failure.UNRUN, head);
-        } else if (h.status() / 100 == 2 && !h.has("X-Server-Seal")) {
-            owner.onFailed(this, Failure.MAYBE_RUN, Optional.empty());
+        var responseHead = head.get();
+        if (isRejection(responseHead)) {
+            listener.onFailed(this, Failure.REJECTED, head);
+        } else if (HttpStatus.isSuccess(responseHead.status())
+                && !responseHead.has(HeaderField.SERVER_SEAL)) {
+            listener.onFailed(this, Failure.MAYBE_RUN, Optional.empty());
         } else {
-            owner.onWhole(this, h, body.toByteArray());
+            listener.onResponse(this, responseHead, body.toByteArray());
         }
     }
 
-    /**
-     * An answer without a length has ended with its connection; a stream that ends inside an event
-     * is cut all the same.
-     */
+    @Override
     public void onConnectionEnd() {
-        if (stream && pend.length > 0) {
+        if (eventStream.isPresent() && eventStream.get().incomplete().length > 0) {
             onBroken();
         } else {
             onEnd();
         }
     }
 
+    @Override
     public void onBroken() {
-        wire = Optional.empty();
-        fail(stream ? Failure.CUT : Failure.MAYBE_RUN);
+        connection = Optional.empty();
+        fail(failureAfterSending());
     }
 
-    private void broken() {
-        var w = wire;
-        fail(stream ? Failure.CUT : Failure.MAYBE_RUN);
-        w.ifPresent(ReplicaConnection::abandon);
+    private Failure failureAfterSending() {
+        return eventStream.isPresent() ? Failure.TRUNCATED : Failure.MAYBE_RUN;
     }
 
-    private void fail(Failure f) {
-        if (state == State.OVER) {
-            return;
-        }
-        state = State.OVER;
-        owner.onFailed(this, f, Optional.empty());
+    private void failAndAbandonConnection() {
+        var used = connection;
+        fail(failureAfterSending());
+        used.ifPresent(ReplicaConnection::abandon);
     }
 
-    /** Takes this attempt off the load of its replica; does nothing the second time. */
-    void uncount() {
-        if (counted) {
-            counted = false;
-            slot.mine--;
-            slot.attempts.remove(this);
-            if (!started()) {
-                slot.unread -= unread;
-            }
-            if (slot.attempts.isEmpty()) {
-                slot.quietSinceUs = 0;
-            }
+    private void fail(Failure failure) {
+        if (state != State.OVER) {
+            state = State.OVER;
+            listener.onFailed(this, failure, Optional.empty());
         }
     }
 
-    /** Ends the attempt from our side, without telling the owner, and takes it off the load. */
-    void giveUp() {
-        uncount();
-        abandon();
+    // ---- control
+
+    /** Stops or resumes reading the response, while the client does not keep up. */
+    void pauseReading(boolean paused) {
+        connection.ifPresent(used -> used.pauseReading(paused));
     }
 
-    private void abandon() {
-        if (state != State.OVER) {
-            state = State.OVER;
-            var w = wire;
-            wire = Optional.empty();
-            w.ifPresent(ReplicaConnection::abandon);
+    /** Counts this attempt in the load of its replica. */
+    void addToLoad() {
+        replica.mine++;
+        replica.unread += pendingPrefillTokens;
+        replica.attempts.add(this);
+    }
+
+    /** Takes this attempt off the load of its replica; does nothing the second time. */
+    void removeFromLoad() {
+        if (!countedInLoad) {
+            return;
+        }
+        countedInLoad = false;
+        replica.mine--;
+        replica.attempts.remove(this);
+        if (!prefilled()) {
+            replica.unread -= pendingPrefillTokens;
+        }
+        if (replica.attempts.isEmpty()) {
+            replica.quietSinceUs = 0;
         }
     }
 
-    public void hold(boolean h) {
-        wire.ifPresent(w -> w.hold(h));
+    /** Ends the attempt from our side: off the load, and without a word to the listener. */
+    void abandon() {
+        removeFromLoad();
+        if (state != State.OVER) {
+            state = State.OVER;
+            var used = connection;
+            connection = Optional.empty();
+            used.ifPresent(ReplicaConnection::abandon);
+        }
     }
 }
--- /dev/null
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
@@ -0,0 +1,236 @@
+package martenloom.edge.dispatch;
+
+import io.activej.eventloop.Eventloop;
+import java.util.Optional;
+import martenloom.common.clock.Clocks;
+import martenloom.common.log.RingLog;
+import martenloom.edge.http.MessageHead;
+import martenloom.edge.replica.ReplicaTable;
+
+/**
+ * Carries out what {@link RetryPolicy} decides about the events of attempts: passes responses on to
+ * clients, starts retries, and ends requests. What a replica did is told to {@link
+ * ReplicaFeedback}. Runs on the reactor thread.
+ */
+final class AttemptHandler implements Attempt.Listener {
+    /** Reading a stream is paused while more than this waits for the client to read it. */
+    private static final int PAUSE_ABOVE_BYTES = 1 << 18;
+
+    private static final int RESUME_BELOW_BYTES = 1 << 16;
+    private static final long RESUME_CHECK_US = 10_000;
+
+    /** With less time than this left a request counts as expired. */
+    private static final long LEAST_LEFT_US = 1000;
+
+    /** What the handler needs of the dispatcher. */
+    interface Owner {
+        /** Starts another attempt; false when none can be started now. */
+        boolean dispatch(Request request, long nowUs);
+
+        /** Lets a request wait for its next attempt, or ends it. */
+        void enqueue(Request request, long nowUs);
+
+        /** A replica has capacity for a request that waits. */
+        void onCapacityFreed();
+    }
+
+    private final Eventloop loop;
+    private final ReplicaTable replicaTable;
+    private final RequestCompletion completion;
+    private final ShutdownAdmissionPolicy admission;
+    private final DispatchCounters counters;
+    private final Owner owner;
+    private final ReplicaFeedback feedback;
+
+    AttemptHandler(
+            Eventloop loop,
+            ReplicaTable replicaTable,
+            RequestCompletion completion,
+            ShutdownAdmissionPolicy admission,
+            DispatchCounters counters,
+            Owner owner) {
+        this.loop = loop;
+        this.replicaTable = replicaTable;
+        this.completion = completion;
+        this.admission = admission;
+        this.counters = counters;
+        this.owner = owner;
+        feedback = new ReplicaFeedback(replicaTable);
+    }
+
+    // ---- streams
+
+    @Override
+    public void onStreamHead(Attempt attempt, MessageHead head) {
+        var request = attempt.request();
+        if (request.done() || request.streaming()) {
+            return;
+        }
+        request.become(Request.State.STREAMING);
+        head.removeHopByHopFields();
+        request.sink().beginStream(head.encodeWithoutBlankLine());
+    }
+
+    @Override
+    public void onEvents(Attempt attempt, byte[] events, String lastEventId) {
+        var request = attempt.request();
+        feedback.onEvents(attempt);
+        if (request.done()) {
+            return;
+        }
+        if (!lastEventId.isEmpty()) {
+            request.setLastEventId(lastEventId);
+        }
+        request.sink().sendEvents(events);
+        if (request.sink().unsentBytes() > PAUSE_ABOVE_BYTES) {
+            attempt.pauseReading(true);
+            resumeWhenRead(attempt);
+        }
+    }
+
+    private void resumeWhenRead(Attempt attempt) {
+        Clocks.after(
+                loop,
+                RESUME_CHECK_US,
+                () -> {
+                    var request = attempt.request();
+                    if (request.done() || request.sink().unsentBytes() < RESUME_BELOW_BYTES) {
+                        attempt.pauseReading(false);
+                    } else {
+                        resumeWhenRead(attempt);
+                    }
+                });
+    }
+
+    @Override
+    public void onStreamEnd(Attempt attempt, byte[] remainder) {
+        attempt.removeFromLoad();
+        var request = attempt.request();
+        if (request.done()) {
+            return;
+        }
+        var now = Clocks.nowUs();
+        feedback.onStreamEnd(attempt, now);
+        finishAnswered(request, now);
+        request.sink().sendEvents(remainder);
+        request.sink().endStream();
+        owner.onCapacityFreed();
+    }
+
+    private void finishAnswered(Request request, long nowUs) {
+        admission.onAnswered(request, nowUs);
+        completion.finish(request);
+        counters.countServed();
+    }
+
+    // ---- other responses and failures
+
+    @Override
+    public void onResponse(Attempt attempt, MessageHead head, byte[] body) {
+        attempt.removeFromLoad();
+        var request = attempt.request();
+        request.countAttempt();
+        if (request.done()) {
+            return;
+        }
+        var now = Clocks.nowUs();
+        var decision = RetryPolicy.afterResponse(request, head.status());
+        if (!request.streaming()) {
+            feedback.onResponse(attempt, head.status(), now);
+        }
+        if (decision == RetryPolicy.Decision.ANSWER) {
+            finishAnswered(request, now);
+            head.removeHopByHopFields();
+            request.sink().respond(head.encodeWithoutBlankLine(), body);
+            owner.onCapacityFreed();
+        } else {
+            request.markMayHaveRun();
+            carryOut(decision, attempt, now);
+        }
+    }
+
+    @Override
+    public void onFailed(Attempt attempt, Attempt.Failure failure, Optional<MessageHead> head) {
+        attempt.removeFromLoad();
+        var request = attempt.request();
+        var now = Clocks.nowUs();
+        RingLog.note(
+                "attempt of "
+                        + request.id()
+                        + " at "
+                        + attempt.replica().row.id
+                        + " failed: "
+                        + failure);
+        var expired = now >= request.deadlineUs() - LEAST_LEFT_US;
+        if (failure != Attempt.Failure.UNSENT) {
+            request.countAttempt();
+        }
+        if (failure == Attempt.Failure.MAYBE_RUN || failure == Attempt.Failure.TRUNCATED) {
+            request.markMayHaveRun();
+        }
+        if (failure != Attempt.Failure.UNSENT || !expired) {
+            feedback.onFailure(attempt, failure, head, now);
+        }
+        if (!request.done()) {
+            request.clearAttempt();
+            carryOut(RetryPolicy.afterFailure(request, failure, expired), attempt, now);
+        }
+    }
+
+    private void carryOut(RetryPolicy.Decision decision, Attempt attempt, long nowUs) {
+        var request = attempt.request();
+        var replicaId = attempt.replica().row.id;
+        if (decision == RetryPolicy.Decision.RETRY_UNSENT) {
+            request.triedReplicas().remove(replicaId);
+            retryOrWait(request, nowUs);
+            return;
+        }
+        request.triedReplicas().add(replicaId);
+        switch (decision) {
+            case RETRY, RESUME -> retry(request);
+            case ABORT_STREAM -> completion.abortStream(request);
+            case FAIL_MAY_HAVE_RUN -> completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
+            case GIVE_UP -> completion.giveUp(request);
+            case EXPIRE -> completion.onDeadline(request);
+            default -> throw new IllegalStateException("unexpected decision " + decision);
+        }
+    }
+
+    private void retry(Request request) {
+        if (request.state() == Request.State.RUNNING) {
+            request.become(Request.State.WAITING);
+        }
+        request.clearAttempt();
+        retryOrWait(request, Clocks.nowUs());
+    }
+
+    private void retryOrWait(Request request, long nowUs) {
+        if (!owner.dispatch(request, nowUs)) {
+            var replicas = replicaTable.of(request.service()).size();
+            if (request.triedReplicas().size() >= replicas) {
+                request.triedReplicas().clear();
+            }
+            owner.enqueue(request, nowUs);
+        }
+    }
+
+    // ---- unresponsive replicas
+
+    /** Moves a request to another replica, when the policy, the replicas and the budget allow. */
+    @Override
+    public void onReplicaUnresponsive(Attempt attempt, long nowUs) {
+        if (!RetryPolicy.mayMove(attempt, nowUs)) {
+            return;
+        }
+        var request = attempt.request();
+        request.countAttempt();
+        request.triedReplicas().add(attempt.replica().row.id);
+        if (!owner.dispatch(request, nowUs)) {
+            request.uncountAttempt();
+            request.setAttempt(attempt);
+            return;
+        }
+        counters.countMoved();
+        attempt.abandon();
+    }
+}
--- /dev/null
+++ b/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
@@ -0,0 +1,208 @@
+package martenloom.edge.dispatch;
+
+import martenloom.common.settings.Settings;
+import martenloom.edge.replica.ReplicaHealth;
+import martenloom.edge.replica.ReplicaTable;
+import martenloom.routing.route.RouteTable;
+
+/**
+ * Decides which replicas a request may go to at all: those that are registered and stay, in no
+ * evacuated zone, not resting, responsive, healthy, and with a connection, a warm-up permit and
+ * capacity to spare. Changes nothing. Runs on the reactor thread.
+ */
+final class CandidateFilter {
+    /**
+     * A replica counts as well filled from this part of its capacity on, or from so many attempts:
+     * whichever is more, for small batches are not slowed so soon.
+     */
+    private static final double WELL_FILLED = 0.5;
+
+    private static final int WELL_FILLED_ATTEMPTS = 20;
+
+    /** Two positions are left to large prompts, however small the replica is. */
+    private static final int POSITIONS_KEPT_FREE = 2;
+
+    /** Kinds of prompts that are usually this large are kept off well filled replicas. */
+    private static final int LARGE_KIND_TOKENS = 2000;
+
+    /** The parts of its capacity up to which a replica is given requests. */
+    private static final double ENGINE_OVERCOMMIT = 1.5;
+
+    private static final double PLAIN_OVERCOMMIT = 2.5;
+
+    /** The part of the connections of a service that edges share evenly. */
+    private static final double SHARED_CONNECTIONS = 0.95;
+
+    /** By a job's urgency: the part of a replica's capacity that may be filled. */
+    private static final double[] JOB_CAPACITY = {0.4, 0.6, 0.8, 1.0};
+
+    /** By a job's urgency: the part of the latency target that may be waiting for prefill. */
+    private static final double[] JOB_LATENCY = {0.35, 0.6, 1.0, 4.0};
+
+    /** From this urgency on a job may go to a replica that is warming up. */
+    private static final int COLD_START_URGENCY = 3;
+
+    /** Rates are tokens a millisecond. */
+    private static final double US_PER_MS = 1000;
+
+    private final Settings settings;
+    private final ReplicaTable replicaTable;
+    private final ClusterView cluster;
+
+    CandidateFilter(Settings settings, ReplicaTable replicaTable, ClusterView cluster) {
+        this.settings = settings;
+        this.replicaTable = replicaTable;
+        this.cluster = cluster;
+    }
+
+    /** Attempts in flight at a replica, of all edges. */
+    static int inFlight(ReplicaTable.Slot replica, long nowUs) {
+        return replica.mine + replica.othersInHand(nowUs);
+    }
+
+    /** Whether a request may be sent to a replica now. */
+    boolean isUsable(
+            ReplicaTable.Slot replica, RouteTable.Service service, Request request, long nowUs) {
+        return stays(replica)
+                && !request.triedReplicas().contains(replica.row.id)
+                && !replica.resting
+                && (!request.isJob()
+                        || hasJobCapacity(replica, request.route(), request.jobUrgency(), nowUs))
+                && isResponsive(replica, nowUs)
+                && hasWarmupPermit(replica, service, nowUs)
+                && hasConnection(replica, service)
+                && hasCapacity(replica, service, nowUs);
+    }
+
+    private boolean stays(ReplicaTable.Slot replica) {
+        var row = replica.row;
+        return !row.gone
+                && !row.draining
+                && !row.silent
+                && row.leavesAtUs == Long.MAX_VALUE
+                && !cluster.isEvacuated(row.zone);
+    }
+
+    private static boolean isResponsive(ReplicaTable.Slot replica, long nowUs) {
+        return nowUs >= replica.suspectUntilUs
+                && nowUs >= replica.fullUntilUs
+                && !replica.othersDoubt(nowUs)
+                && replica.health.state(nowUs) != ReplicaHealth.State.ASIDE
+                && !(replica.doubtful && replica.mine > 0);
+    }
+
+    /** A replica that is warming up gets only so many requests in a second. */
+    private boolean hasWarmupPermit(
+            ReplicaTable.Slot replica, RouteTable.Service service, long nowUs) {
+        return replica.warm(nowUs)
+                || service.warmPerS <= 0
+                || replica.coldSends(nowUs) + replica.opening()
+                        < warmupPermits(replica, service, nowUs);
+    }
+
+    /**
+     * An even share by the most edges ever, as long as that is one or more; past that, what the
+     * homes lent.
+     */
+    private int warmupPermits(ReplicaTable.Slot replica, RouteTable.Service service, long nowUs) {
+        var permits = service.coldPerS(settings.bounds.warmOverage, settings.bounds.warmSlack);
+        return cluster.edgeCount() <= permits
+                ? permits / cluster.edgeCount()
+                : replicaTable.coldShare(replica.row.id, nowUs);
+    }
+
+    private boolean hasConnection(ReplicaTable.Slot replica, RouteTable.Service service) {
+        var share = (int) (service.maxConnections * SHARED_CONNECTIONS / cluster.edgeCount());
+        return !replica.idle.isEmpty() || replica.open < Math.max(1, share);
+    }
+
+    private static boolean hasCapacity(
+            ReplicaTable.Slot replica, RouteTable.Service service, long nowUs) {
+        var overcommit = service.engine ? ENGINE_OVERCOMMIT : PLAIN_OVERCOMMIT;
+        return inFlight(replica, nowUs) < replica.row.capacity * overcommit;
+    }
+
+    /**
+     * A large prefill slows every stream of its replica, so kinds of large prompts stay off
+     * replicas that are well filled. The measure is the kind's usual size: the largest of a kind
+     * are not kept out before the others.
+     */
+    boolean isTooFullForKind(
+            ReplicaTable.Slot replica, RouteTable.Service service, Request request, long nowUs) {
+        var capacity = replica.row.capacity;
+        var wellFilled =
+                Math.max(
+                        capacity * WELL_FILLED,
+                        Math.min(capacity - POSITIONS_KEPT_FREE, WELL_FILLED_ATTEMPTS));
+        return service.engine
+                && replicaTable.usual(request.route()) >= LARGE_KIND_TOKENS
+                && inFlight(replica, nowUs) > wellFilled;
+    }
+
+    // ---- deferred jobs
+
+    /** Whether some replica of a route has capacity to spare for a job of this urgency. */
+    boolean hasJobCapacity(String routeName, int urgency, long nowUs) {
+        for (var route : cluster.table().routes) {
+            if (route.name.equals(routeName)) {
+                return hasJobCapacity(route, urgency, nowUs);
+            }
+        }
+        return false;
+    }
+
+    private boolean hasJobCapacity(RouteTable.Route route, int urgency, long nowUs) {
+        for (var share : route.shares) {
+            for (var replica : replicaTable.of(share.service)) {
+                if (hasJobCapacity(replica, route, urgency, nowUs)) {
+                    return true;
+                }
+            }
+        }
+        return false;
+    }
+
+    /** Whether a replica has capacity for a job past what interactive requests need. */
+    private boolean hasJobCapacity(
+            ReplicaTable.Slot replica, RouteTable.Route route, int urgency, long nowUs) {
+        var row = replica.row;
+        return route.allows(replica.region)
+                && !row.draining
+                && !row.silent
+                && !row.gone
+                && nowUs >= replica.suspectUntilUs
+                && !cluster.isEvacuated(row.zone)
+                && (replica.warm(nowUs) || urgency >= COLD_START_URGENCY)
+                && inFlight(replica, nowUs) < Math.max(1, row.capacity * JOB_CAPACITY[urgency])
+                && prefillAheadUs(replica, nowUs) < route.aimUs * JOB_LATENCY[urgency];
+    }
+
+    private static double prefillAheadUs(ReplicaTable.Slot replica, long nowUs) {
+        return (replica.unread + replica.othersUnread(nowUs)) / replica.rate * US_PER_MS;
+    }
+
+    // ---- waiting
+
+    /**
+     * Whether everything that could serve this request rests, so that it may wait for a replica to
+     * be woken.
+     */
+    boolean allResting(Request request) {
+        if (!cluster.hasPlacements()) {
+            return false;
+        }
+        var anyResting = false;
+        for (var replica : replicaTable.of(request.service())) {
+            if (request.route().allows(replica.region)
+                    && !replica.row.draining
+                    && !replica.row.silent
+                    && !cluster.isEvacuated(replica.row.zone)) {
+                if (!replica.resting) {
+                    return false;
+                }
+                anyResting = true;
+            }
+        }
+        return anyResting;
+    }
+}
--- a/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
@@ -7,297 +7,361 @@
 import java.util.Arrays;
 import java.util.Optional;
 import martenloom.common.clock.Clocks;
-import martenloom.edge.http.Chunks;
-import martenloom.edge.http.Head;
+import martenloom.edge.http.ChunkedBodyReader;
+import martenloom.edge.http.ErrorResponse;
+import martenloom.edge.http.HeaderField;
+import martenloom.edge.http.HttpStatus;
+import martenloom.edge.http.MalformedMessageException;
+import martenloom.edge.http.MessageHead;
+import martenloom.edge.transport.SocketConnection;
 import martenloom.routing.route.RouteTable;
 
 /**
- * One connection of a client: reads one request at a time, strictly and within the limits of the
- * configuration, gives it to the dispatcher, and writes its answer. Whatever is cut short stays
- * visibly so: the last chunk is written only when the replica's answer was whole.
+ * A connection of a client: reads one request at a time, strictly and within the limits of the
+ * configuration, gives it to its handler, and writes the response. A truncated stream stays visibly
+ * so: the last chunk is written only when the replica's response was complete.
+ *
+ * <p>States: {@code HEAD} → {@code BODY} → {@code IN_FLIGHT} when the request is complete → {@code
+ * HEAD} when its response is written, or {@code CLOSING} if no further request may follow. Runs on
+ * the reactor thread.
  */
-public final class ClientConnection implements SocketConnection.Owner, Request.Sink {
+public final class ClientConnection implements SocketConnection.Owner, ResponseSink {
+    /** Takes the requests of client connections. */
+    public interface RequestHandler {
+        /** The limits on requests that are in force. */
+        RouteTable.Limits clientLimits();
+
+        /** Whether this edge shuts down, so that each connection is closed behind its response. */
+        boolean closesConnections();
+
+        void onOpened(ClientConnection client);
+
+        void onRequest(ClientConnection client, MessageHead head, byte[] body);
+
+        /** The connection is closed; called once. */
+        void onClosed(ClientConnection client);
+    }
+
     private enum State {
         HEAD,
         BODY,
-        IN_HAND,
-        ENDING
+        IN_FLIGHT,
+        CLOSING
     }
 
-    /**
-     * How long a client that reads slowly may take up what it is still owed of a stream that is
-     * cut.
-     */
-    private static final long CUT_FLUSH_US = 200_000;
+    private static final int MAX_BUFFERED_BYTES = 1 << 17;
 
-    /** How long a connection may rest at an edge that leaves before it is closed. */
-    public static final long IDLE_WHILE_LEAVING_US = 1_000_000;
+    /** The shortest end of a head that may stand behind other bytes of it: CR LF CR. */
+    private static final int HEAD_END_LOOK_BACK = 3;
 
-    private static final byte[] LAST = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+    /** How long a slow client may go on reading what was written of a stream that is aborted. */
+    private static final long ABORT_FLUSH_US = 200_000;
 
-    /** What the client side needs of the dispatcher. */
-    public interface RequestDispatcher {
-        RouteTable table();
+    /** How long a connection may be idle at an edge that shuts down before it is closed. */
+    public static final long MAX_IDLE_IN_SHUTDOWN_US = 1_000_000;
 
-        boolean leaving();
+    private static final long US_PER_MS = 1000;
 
-        void onRequest(ClientConnection r, Head h, byte[] body);
+    /** What the limits of the configuration are exceeded by before they are enforced. */
+    private static final long IDLE_GRACE_US = 1_000_000;
 
-        void onGone(ClientConnection r);
+    private static final long HEAD_GRACE_US = 500_000;
+    private static final long MAX_CLOSING_US = 5_000_000;
 
-        void onOpened(ClientConnection r);
-    }
+    private static final byte[] CONTINUE =
+            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    private final SocketConnection wire;
-    private final RequestDispatcher dispatcher;
+    private final SocketConnection socket;
+    private final RequestHandler handler;
     private final Eventloop loop;
     private State state = State.HEAD;
-    private Head head = new Head();
-    private int left;
-    private Optional<Chunks> chunks = Optional.empty();
-    private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    private boolean closeAfter;
-    public Optional<Request> request = Optional.empty();
-    public long sinceUs = Clocks.nowUs();
-
-    /**
-     * When the first byte of the next request came, or could be told from those before it; 0 while
-     * none is here.
-     */
+
+    /** When the present state began, or the head was read. */
+    private long sinceUs = Clocks.nowUs();
+
+    /** The first byte of the request that is being read; 0 while none has come. */
     private long firstByteUs;
 
-    private long beganUs;
+    // ---- the request being read or in flight
+
+    private MessageHead head = MessageHead.newRequest("", "");
+    private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
 
-    public ClientConnection(Eventloop loop, ITcpSocket s, RequestDispatcher f) {
+    /** The present body in the chunked coding; else {@link #bytesLeft} counts it. */
+    private Optional<ChunkedBodyReader> chunkedBody = Optional.empty();
+
+    private int bytesLeft;
+    private long requestBeganUs;
+    private boolean closeAfterResponse;
+    private Optional<Request> request = Optional.empty();
+
+    public ClientConnection(Eventloop loop, ITcpSocket tcpSocket, RequestHandler handler) {
         this.loop = loop;
-        dispatcher = f;
-        wire = new SocketConnection(s, 1 << 17, this);
-        dispatcher.onOpened(this);
-        wire.start();
+        this.handler = handler;
+        socket = new SocketConnection(tcpSocket, MAX_BUFFERED_BYTES, this);
+        handler.onOpened(this);
+        socket.start();
+    }
+
+    /** Whether it waits for a request of which nothing has come. */
+    boolean idle() {
+        return state == State.HEAD && socket.available() == 0;
+    }
+
+    /** When the request in flight began to come in. */
+    long requestBeganUs() {
+        return requestBeganUs;
+    }
+
+    /** The request in flight, if the handler has attached one. */
+    Optional<Request> request() {
+        return request;
+    }
+
+    void attach(Request newRequest) {
+        request = Optional.of(newRequest);
     }
 
-    public boolean idle() {
-        return state == State.HEAD && wire.size() == 0;
+    void detachRequest() {
+        request = Optional.empty();
     }
 
+    // ---- reading
+
     @Override
     public void onBytes() {
         if (firstByteUs == 0) {
             firstByteUs = Clocks.nowUs();
         }
         try {
-            while (wire.size() > 0 && (state == State.HEAD || state == State.BODY) && step()) {}
-        } catch (Head.BadHead e) {
-            refuse(e.status);
+            while (socket.available() > 0 && readNext()) {}
+        } catch (MalformedMessageException e) {
+            reject(e.status());
         }
     }
 
-    private boolean step() {
-        if (state == State.BODY) {
-            return body();
-        }
-        while (wire.size() >= 2 && wire.buf[wire.from] == '\r' && wire.buf[wire.from + 1] == '\n') {
-            wire.used(2);
-        }
-        var e = Head.end(wire.buf, wire.from + 3, wire.to);
-        var most = dispatcher.table().limits.headBytes;
-        if (e < 0 ? wire.size() > most : e - wire.from > most) {
-            throw new Head.BadHead(431, "head too large");
+    /** Reads on in the present state; false when more bytes are needed or none are wanted now. */
+    private boolean readNext() {
+        return switch (state) {
+            case HEAD -> readHead();
+            case BODY -> readBody();
+            case IN_FLIGHT, CLOSING -> false;
+        };
+    }
+
+    private boolean readHead() {
+        skipBlankLines();
+        var start = socket.position();
+        var end = MessageHead.endOf(socket.buffer(), start + HEAD_END_LOOK_BACK, socket.limit());
+        var headBytes = end < 0 ? socket.available() : end - start;
+        if (headBytes > handler.clientLimits().headBytes) {
+            throw new MalformedMessageException(
+                    HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large");
         }
-        if (e < 0) {
+        if (end < 0) {
             return false;
         }
-        head = Head.request(wire.buf, wire.from, e);
-        wire.used(e - wire.from);
+        head = MessageHead.readRequest(socket.buffer(), start, end);
+        socket.consume(end - start);
         sinceUs = Clocks.nowUs();
-        beganUs = firstByteUs;
-        if (head.count("Host") != 1 || head.get("Host").isEmpty()) {
-            throw new Head.BadHead(400, "host");
+        requestBeganUs = firstByteUs;
+        beginBody();
+        return true;
+    }
+
+    private void skipBlankLines() {
+        while (socket.available() >= 2
+                && socket.buffer()[socket.position()] == '\r'
+                && socket.buffer()[socket.position() + 1] == '\n') {
+            socket.consume(2);
+        }
+    }
+
+    private void beginBody() {
+        if (head.count(HeaderField.HOST) != 1 || head.get(HeaderField.HOST).isEmpty()) {
+            throw new MalformedMessageException(HttpStatus.BAD_REQUEST, "host");
         }
-        var n = head.length(400);
-        if (n > dispatcher.table().limits.bodyBytes) {
-            throw new Head.BadHead(413, "body too large");
+        var length = head.bodyLength(HttpStatus.BAD_REQUEST);
+        if (length > handler.clientLimits().bodyBytes) {
+            throw new MalformedMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
         }
-        closeAfter = head.closes();
-        chunks = n < 0 ? Optional.of(new Chunks(400)) : Optional.empty();
-        left = Math.max(0, n);
-        body = new ByteArrayOutputStream(left);
+        closeAfterResponse = head.closesConnection();
+        chunkedBody =
+                length == MessageHead.CHUNKED
+                        ? Optional.of(new ChunkedBodyReader(HttpStatus.BAD_REQUEST))
+                        : Optional.empty();
+        bytesLeft = Math.max(0, length);
+        body = new ByteArrayOutputStream(bytesLeft);
         state = State.BODY;
-        if (head.get("Expect").equalsIgnoreCase("100-continue") && n != 0 && wire.size() == 0) {
-            wire.write("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+        if (head.get(HeaderField.EXPECT).equalsIgnoreCase("100-continue")
+                && length != 0
+                && socket.available() == 0) {
+            socket.write(CONTINUE);
         }
-        if (chunks.isEmpty() && left == 0) {
-            take();
+        if (length == 0) {
+            finishRequest();
         }
-        return true;
     }
 
-    private boolean body() {
-        if (chunks.isPresent()) {
-            var c = chunks.get();
-            var n = c.take(wire.buf, wire.from, wire.to, (b, f, k) -> body.write(b, f, k));
-            wire.used(n - wire.from);
-            if (body.size() > dispatcher.table().limits.bodyBytes) {
-                throw new Head.BadHead(413, "body too large");
-            }
-            if (c.done()) {
-                take();
-            }
+    private boolean readBody() {
+        if (chunkedBody.isPresent()) {
+            readChunks(chunkedBody.get());
             return true;
         }
-        var n = Math.min(left, wire.size());
-        body.write(wire.buf, wire.from, n);
-        wire.used(n);
-        left -= n;
-        if (left == 0) {
-            take();
+        var length = Math.min(bytesLeft, socket.available());
+        body.write(socket.buffer(), socket.position(), length);
+        socket.consume(length);
+        bytesLeft -= length;
+        if (bytesLeft == 0) {
+            finishRequest();
         }
         return true;
     }
 
-    private void take() {
-        state = State.IN_HAND;
-        var b = body.toByteArray();
-        body = new ByteArrayOutputStream(0);
-        firstByteUs = wire.size() > 0 ? Clocks.nowUs() : 0;
-        dispatcher.onRequest(this, head, b);
-    }
-
-    /** When the request in hand began to come in. */
-    public long beganUs() {
-        return beganUs;
+    private void readChunks(ChunkedBodyReader reader) {
+        var start = socket.position();
+        var end = reader.read(socket.buffer(), start, socket.limit(), body::write);
+        socket.consume(end - start);
+        if (body.size() > handler.clientLimits().bodyBytes) {
+            throw new MalformedMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
+        }
+        if (reader.done()) {
+            finishRequest();
+        }
     }
 
-    /** Bytes of answers that have not gone out. */
-    public boolean unsent() {
-        return wire.waiting() > 0;
+    private void finishRequest() {
+        state = State.IN_FLIGHT;
+        var complete = body.toByteArray();
+        body = new ByteArrayOutputStream(0);
+        firstByteUs = socket.available() > 0 ? Clocks.nowUs() : 0;
+        handler.onRequest(this, head, complete);
     }
 
-    private void refuse(int status) {
-        closeAfter = true;
-        state = State.IN_HAND;
-        whole(plain(status, ""), new byte[0]);
+    /** Answers a request that was not read to its end, and closes behind the answer. */
+    private void reject(int status) {
+        closeAfterResponse = true;
+        state = State.IN_FLIGHT;
+        respond(ErrorResponse.head(status), ErrorResponse.noBody());
     }
 
-    /** A head of our own with no body; a wait in seconds goes into Retry-After. */
-    public static byte[] plain(int status, String wait) {
-        var why =
-                switch (status) {
-                    case 400 -> "Bad Request";
-                    case 404 -> "Not Found";
-                    case 408 -> "Request Timeout";
-                    case 413 -> "Content Too Large";
-                    case 431 -> "Request Header Fields Too Large";
-                    case 502 -> "Bad Gateway";
-                    case 503 -> "Service Unavailable";
-                    case 504 -> "Gateway Timeout";
-                    default -> "Status";
-                };
-        return ("HTTP/1.1 "
-                        + status
-                        + " "
-                        + why
-                        + "\r\n"
-                        + (wait.isEmpty() ? "" : "Retry-After: " + wait + "\r\n"))
-                .getBytes(StandardCharsets.ISO_8859_1);
-    }
+    // ---- writing
 
-    private byte[] closing(byte[] head, String framing) {
-        var close = closeAfter || dispatcher.leaving();
-        closeAfter = close;
-        var tail =
-                (framing + (close ? "Connection: close\r\n" : "") + "\r\n")
-                        .getBytes(StandardCharsets.ISO_8859_1);
-        var b = Arrays.copyOf(head, head.length + tail.length);
-        System.arraycopy(tail, 0, b, head.length, tail.length);
-        return b;
+    @Override
+    public void respond(byte[] responseHead, byte[] responseBody) {
+        var framed = withFraming(responseHead, "Content-Length: " + responseBody.length + "\r\n");
+        var message = Arrays.copyOf(framed, framed.length + responseBody.length);
+        System.arraycopy(responseBody, 0, message, framed.length, responseBody.length);
+        socket.write(message);
+        beginNext();
     }
 
     @Override
-    public void whole(byte[] head, byte[] body) {
-        var h = closing(head, "Content-Length: " + body.length + "\r\n");
-        var all = Arrays.copyOf(h, h.length + body.length);
-        System.arraycopy(body, 0, all, h.length, body.length);
-        wire.write(all);
-        next();
+    public void beginStream(byte[] responseHead) {
+        socket.write(withFraming(responseHead, "Transfer-Encoding: chunked\r\n"));
     }
 
-    @Override
-    public void open(byte[] head) {
-        wire.write(closing(head, "Transfer-Encoding: chunked\r\n"));
+    private byte[] withFraming(byte[] responseHead, String framing) {
+        closeAfterResponse |= handler.closesConnections();
+        var rest =
+                (framing + (closeAfterResponse ? "Connection: close\r\n" : "") + "\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1);
+        var framed = Arrays.copyOf(responseHead, responseHead.length + rest.length);
+        System.arraycopy(rest, 0, framed, responseHead.length, rest.length);
+        return framed;
     }
 
     @Override
-    public void event(byte[] b) {
-        if (b.length == 0) {
+    public void sendEvents(byte[] events) {
+        if (events.length == 0) {
             return;
         }
-        var h = (Integer.toHexString(b.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        var all = Arrays.copyOf(h, h.length + b.length + 2);
-        System.arraycopy(b, 0, all, h.length, b.length);
-        all[all.length - 2] = '\r';
-        all[all.length - 1] = '\n';
-        wire.write(all);
+        var size =
+                (Integer.toHexString(events.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        var chunk = Arrays.copyOf(size, size.length + events.length + 2);
+        System.arraycopy(events, 0, chunk, size.length, events.length);
+        chunk[chunk.length - 2] = '\r';
+        chunk[chunk.length - 1] = '\n';
+        socket.write(chunk);
     }
 
     @Override
-    public void end() {
-        wire.write(LAST);
-        next();
+    public void endStream() {
+        socket.write(LAST_CHUNK);
+        beginNext();
     }
 
     @Override
-    public void cut() {
-        state = State.ENDING;
-        request = Optional.empty();
-        wire.closeWhenSent();
-        Clocks.after(loop, CUT_FLUSH_US, wire::close);
+    public void abortStream() {
+        state = State.CLOSING;
+        detachRequest();
+        socket.closeWhenSent();
+        Clocks.after(loop, ABORT_FLUSH_US, socket::close);
     }
 
     @Override
-    public int waiting() {
-        return wire.waiting();
+    public int unsentBytes() {
+        return socket.unsentBytes();
     }
 
-    private void next() {
-        request = Optional.empty();
+    private void beginNext() {
+        detachRequest();
         sinceUs = Clocks.nowUs();
-        if (closeAfter) {
-            state = State.ENDING;
-            wire.closeWhenSent();
+        if (closeAfterResponse) {
+            state = State.CLOSING;
+            socket.closeWhenSent();
             return;
         }
         state = State.HEAD;
-        if (wire.size() > 0) {
+        if (socket.available() > 0) {
             loop.post(this::onBytes);
         }
     }
 
-    /** Called now and then: ends what is idle or too slow. */
-    public void check(long now) {
-        var l = dispatcher.table().limits;
-        var age = now - sinceUs;
-        if (state == State.HEAD
-                && wire.size() == 0
-                && age
-                        > (dispatcher.leaving()
-                                ? IDLE_WHILE_LEAVING_US
-                                : l.idleMs * 1000L + 1_000_000)) {
-            wire.close();
-        } else if (state == State.HEAD && wire.size() > 0 && age > l.headMs * 1000L + 500_000
-                || state == State.BODY && age > l.idleMs * 1000L) {
-            refuse(408);
-        } else if (state == State.ENDING && age > 5_000_000) {
-            wire.close();
+    // ---- time and the end
+
+    /** Called now and then: closes what is idle and ends what is too slow. */
+    void enforceTimeouts(long nowUs) {
+        var ageUs = nowUs - sinceUs;
+        switch (state) {
+            case HEAD -> {
+                if (socket.available() == 0) {
+                    closeIf(ageUs > maxIdleUs());
+                } else {
+                    rejectIf(ageUs > handler.clientLimits().headMs * US_PER_MS + HEAD_GRACE_US);
+                }
+            }
+            case BODY -> rejectIf(ageUs > handler.clientLimits().idleMs * US_PER_MS);
+            case CLOSING -> closeIf(ageUs > MAX_CLOSING_US);
+            case IN_FLIGHT -> {}
+        }
+    }
+
+    private long maxIdleUs() {
+        return handler.closesConnections()
+                ? MAX_IDLE_IN_SHUTDOWN_US
+                : handler.clientLimits().idleMs * US_PER_MS + IDLE_GRACE_US;
+    }
+
+    private void closeIf(boolean expired) {
+        if (expired) {
+            close();
+        }
+    }
+
+    private void rejectIf(boolean expired) {
+        if (expired) {
+            reject(HttpStatus.REQUEST_TIMEOUT);
         }
     }
 
     @Override
     public void onClosed() {
-        dispatcher.onGone(this);
+        handler.onClosed(this);
     }
 
-    public void close() {
-        wire.close();
+    void close() {
+        socket.close();
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -2,442 +2,255 @@
 
 import java.util.ArrayList;
 import java.util.Collections;
-import java.util.Comparator;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
-import java.util.Set;
-import martenloom.common.clock.Clocks;
 import martenloom.common.settings.Settings;
-import martenloom.edge.overload.Overload;
-import martenloom.edge.replica.PrefixOwners;
-import martenloom.edge.replica.ReplicaHealth;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.route.RouteTable;
 
 /**
- * The owner of the question which replica an request goes to: the table of routes, who is evacuated
- * or rests, the shares of what all edges may do together, homes, kept parts, predicted times, and
- * the overload reports in force. It changes nothing but counts of what was kept away; the
- * dispatcher acts on its answer.
+ * Picks the replica that a request goes to. Large shared segments of prompts go to the replica that
+ * owns them; everything else goes to the own region while it has room, and then to the allowed
+ * region with the most room. Which replicas are candidates, what they cost, who owns a prefix and
+ * what overload reports withhold are the matter of one class each. Nothing is sent from here. Runs
+ * on the reactor thread.
  */
 final class ReplicaSelector {
-    static final int LARGE = 1000;
-    private static final int LARGE_KIND = 2000;
-    private static final double CROWD = 0.5;
-    private static final int CROWD_LEAST = 20;
-    private static final double AFFINITY_US = 15_000;
-    private static final double[] JOB_FILL = {0.4, 0.6, 0.8, 1.0};
-    private static final double[] JOB_TIME = {0.35, 0.6, 1.0, 4.0};
-
-    private final Settings settings;
-    private final ReplicaTable replicaTable;
-    private final PrefixOwners places;
-    private final Overload.Receiver reports;
-    private RouteTable table = RouteTable.EMPTY;
-    private Set<String> evacuated = Set.of();
-    private Map<String, ScaleRunner.Placed> placed = Map.of();
-    private int edges = 1;
-    private int turn = new Random().nextInt(1 << 20);
-    private long spilled;
-
-    ReplicaSelector(
-            Settings p, ReplicaTable replicaTable, PrefixOwners places, Overload.Receiver reports) {
-        settings = p;
-        this.replicaTable = replicaTable;
-        this.places = places;
-        this.reports = reports;
-    }
-
-    RouteTable table() {
-        return table;
-    }
-
-    long spilled() {
-        return spilled;
-    }
-
-    void onTable(RouteTable t) {
-        table = t;
-        markResting();
-    }
-
-    void onPlaced(Map<String, ScaleRunner.Placed> p) {
-        placed = p;
-        markResting();
-    }
-
-    private void markResting() {
-        replicaTable.all().forEach(this::markResting);
-    }
-
-    void markResting(ReplicaTable.Slot s) {
-        var svc = Optional.ofNullable(table.services.get(s.row.service)).filter(x -> x.engine);
-        var p = svc.flatMap(x -> Optional.ofNullable(placed.get(s.region + "/" + x.model)));
-        s.resting = p.isPresent() && (p.get().pinned() || p.get().resting().contains(s.row.id));
-    }
+    /** The part of the latency target within which a replica must answer to be taken at once. */
+    private static final double ROOM = 0.7;
 
     /**
-     * Whether everything that could serve this request rests: then it may wait for one to be woken.
+     * The prefix owner may take a little longer than another replica; and what will be late anyway
+     * is not prefilled again elsewhere.
      */
-    boolean asleep(Request e) {
-        if (placed.isEmpty()) {
-            return false;
-        }
-        var l =
-                replicaTable.of(e.service).stream()
-                        .filter(
-                                s ->
-                                        e.route.allows(s.region)
-                                                && !s.row.draining
-                                                && !s.row.silent
-                                                && !evacuated.contains(s.row.zone))
-                        .toList();
-        return !l.isEmpty() && l.stream().allMatch(s -> s.resting);
-    }
+    private static final double OWNER_ROOM = 0.85;
 
-    void onEvacuated(Set<String> zones, long now) {
-        for (var s : replicaTable.all()) {
-            if (evacuated.contains(s.row.zone) && !zones.contains(s.row.zone)) {
-                var w =
-                        Optional.ofNullable(table.services.get(s.row.service))
-                                .map(x -> x.warmUs)
-                                .orElse(0L);
-                s.coldFloorUs = w == 0 ? 0 : now + w + 1_500_000;
-            }
-        }
-        evacuated = Set.copyOf(zones);
-    }
+    private static final double OWNER_LATE_FROM = 0.5;
+    private static final double OWNER_LATE_ROOM = 0.5;
 
-    void onEdges(int n) {
-        edges = Math.max(1, n);
-    }
+    /** How many owners of a prefix are considered, one after another. */
+    private static final int MAX_OWNERS = 3;
 
-    int edges() {
-        return edges;
-    }
+    /** An owner may have so many attempts in flight, and twice what the emptiest has. */
+    private static final int OWNER_IN_FLIGHT = 16;
 
-    Set<String> evacuated() {
-        return evacuated;
-    }
+    private static final int OWNER_IN_FLIGHT_FACTOR = 2;
 
-    // ---- room for deferred jobs
+    /** A replica without room is taken all the same within these parts of target and time left. */
+    private static final double FALLBACK_LATENCY = 1.5;
 
-    /**
-     * Whether some replica has room to spare for a job of this urgency, past what interactive
-     * requests need.
-     */
-    boolean jobRoom(String route, int urgency) {
-        var r = table.routes.stream().filter(x -> x.name.equals(route)).findFirst();
-        return r.isPresent()
-                && r.get().shares.stream()
-                        .anyMatch(
-                                s ->
-                                        replicaTable.of(s.service).stream()
-                                                .anyMatch(
-                                                        x ->
-                                                                jobRoom(
-                                                                        x,
-                                                                        r.get(),
-                                                                        urgency,
-                                                                        Clocks.nowUs())));
-    }
+    private static final double FALLBACK_TIME_LEFT = 0.6;
+    private static final int FIRST_TURN_BELOW = 1 << 20;
 
-    private boolean jobRoom(ReplicaTable.Slot s, RouteTable.Route r, int urgency, long now) {
-        var in = s.mine + s.othersInHand(now);
-        var ahead = (s.unread + s.othersUnread(now)) / s.rate * 1000;
-        return r.allows(s.region)
-                && !s.row.draining
-                && !s.row.silent
-                && !s.row.gone
-                && now >= s.suspectUntilUs
-                && !evacuated.contains(s.row.zone)
-                && (s.warm(now) || urgency > 2)
-                && in < Math.max(1, s.row.capacity * JOB_FILL[urgency])
-                && ahead < r.aimUs * JOB_TIME[urgency];
+    /** A replica and what it costs. */
+    private record Candidate(Optional<ReplicaTable.Slot> replica, double costUs) {
+        private static final Candidate NONE = new Candidate(Optional.empty(), Double.MAX_VALUE);
     }
 
-    // ---- choice
+    private final String ownRegion;
+    private final ReplicaTable replicaTable;
+    private final ClusterView cluster;
+    private final CandidateFilter filter;
+    private final CostPredictor predictor;
+    private final PrefixCacheOwnership prefixCache;
+    private final OverloadReduction overload;
 
-    private static final class Pick {
-        final Optional<ReplicaTable.Slot> slot;
-        final double costUs;
+    /** Rotates the order of the other regions. */
+    private int turn = new Random().nextInt(FIRST_TURN_BELOW);
 
-        Pick(Optional<ReplicaTable.Slot> s, double c) {
-            slot = s;
-            costUs = c;
-        }
+    ReplicaSelector(
+            Settings settings,
+            ReplicaTable replicaTable,
+            ClusterView cluster,
+            CandidateFilter filter,
+            PrefixCacheOwnership prefixCache,
+            OverloadReduction overload) {
+        ownRegion = settings.region;
+        this.replicaTable = replicaTable;
+        this.cluster = cluster;
+        this.filter = filter;
+        this.prefixCache = prefixCache;
+        this.overload = overload;
+        predictor = new CostPredictor(replicaTable);
     }
 
-    private boolean usable(ReplicaTable.Slot s, RouteTable.Service svc, Request e, long now) {
-        var r = s.row;
-        if (r.gone
-                || r.draining
-                || r.silent
-                || r.leavesAtUs != Long.MAX_VALUE
-                || evacuated.contains(r.zone)
-                || e.tried.contains(r.id)) {
-            return false;
-        }
-        if (s.resting) {
-            return false;
-        }
-        if (e.deferred > 0 && !jobRoom(s, e.route, e.deferred - 1, now)) {
-            return false;
+    /** The replica for the next attempt of a request, if there is one that can serve it in time. */
+    Optional<ReplicaTable.Slot> select(Request request, long nowUs) {
+        var service = cluster.service(request.service());
+        var replicas = replicaTable.of(request.service());
+        var withheldBy = new ArrayList<String>();
+        var selected = Optional.<ReplicaTable.Slot>empty();
+        if (service.engine && request.prompt().hasLargeShared()) {
+            selected = selectPrefixOwner(replicas, service, request, withheldBy, nowUs);
         }
-        if (now < s.suspectUntilUs
-                || now < s.fullUntilUs
-                || s.othersDoubt(now)
-                || s.health.state(now) == ReplicaHealth.State.ASIDE) {
-            return false;
-        }
-        if (s.doubtful && s.mine > 0) {
-            return false;
-        }
-        if (!s.warm(now) && svc.warmPerS > 0) {
-            if (s.coldSends(now) + s.opening() >= coldShare(s, svc, now)) {
-                return false;
-            }
+        if (selected.isEmpty()) {
+            selected = selectByRegion(replicas, service, request, withheldBy, nowUs);
         }
-        var conns = Math.max(1, (int) (svc.maxConnections * 0.95 / edges));
-        if (s.idle.isEmpty() && s.open >= conns) {
-            return false;
-        }
-        var in = s.mine + s.othersInHand(now);
-        return in < (svc.engine ? r.capacity * 1.5 : r.capacity * 2.5);
-    }
-
-    /**
-     * An even share by the most edges ever, as long as that is one or more; past that, what the
-     * homes lent.
-     */
-    private int coldShare(ReplicaTable.Slot s, RouteTable.Service svc, long now) {
-        var all = svc.coldPerS(settings.bounds.warmOverage, settings.bounds.warmSlack);
-        return edges <= all ? all / edges : replicaTable.coldShare(s.row.id, now);
-    }
-
-    private Pick best(
-            List<ReplicaTable.Slot> slots,
-            RouteTable.Service svc,
-            Request e,
-            String region,
-            long now) {
-        var best = Optional.<ReplicaTable.Slot>empty();
-        var cost = Double.MAX_VALUE;
-        var bonus =
-                svc.engine && e.sizes.size() > 1
-                        ? topOf(slots, e, region)
-                        : Optional.<ReplicaTable.Slot>empty();
-        for (var s : slots) {
-            if (!s.region.equals(region) || !usable(s, svc, e, now) || crowded(s, svc, e, now)) {
-                continue;
-            }
-            var c =
-                    replicaTable.predict(s, svc, e, false, now)
-                            + s.farUs
-                            + s.health.costUs(now)
-                            - (bonus.isPresent() && bonus.get() == s ? AFFINITY_US : 0);
-            if (c < cost) {
-                cost = c;
-                best = Optional.of(s);
-            }
+        if (selected.isPresent()) {
+            overload.onChosen(withheldBy, isRemote(selected.get().region));
+        } else {
+            overload.onNothingChosen(request, withheldBy);
         }
-        return new Pick(best, cost);
+        return selected;
     }
 
-    /**
-     * Reading a large prompt slows every stream of its replica, so kinds of large prompts stay off
-     * replicas that are well filled: half of their places or 20, whichever is more, for small
-     * batches are not slowed so soon. The measure is the kind's usual size: the largest of a kind
-     * are not kept out before the others.
-     */
-    private boolean crowded(ReplicaTable.Slot s, RouteTable.Service svc, Request e, long now) {
-        var most = Math.max(s.row.capacity * CROWD, Math.min(s.row.capacity - 2, CROWD_LEAST));
-        return svc.engine
-                && replicaTable.usual(e.route) >= LARGE_KIND
-                && s.mine + s.othersInHand(now) > most;
+    private boolean isRemote(String region) {
+        return !region.equals(ownRegion);
     }
 
-    static String sharedPart(Request e) {
-        return e.parts.get(e.parts.size() - 2);
+    /** The time within which a replica must answer to have room for a request. */
+    private static double roomUs(Request request, long nowUs) {
+        return request.route().aimUs * ROOM - (nowUs - request.arrivedUs());
     }
 
-    private static int weight(Request e, ReplicaTable.Slot s) {
-        return mix(sharedPart(e).hashCode() * 31 + s.row.id.hashCode());
+    // ---- by prefix cache
+
+    private Optional<ReplicaTable.Slot> selectPrefixOwner(
+            List<ReplicaTable.Slot> replicas,
+            RouteTable.Service service,
+            Request request,
+            List<String> withheldBy,
+            long nowUs) {
+        var owners = prefixCache.ownersInOrder(replicas, request);
+        var firstHasCache = !owners.isEmpty() && prefixCache.isCached(owners.get(0), request);
+        var maxInFlight = maxInFlightOfOwner(owners, service, request, nowUs);
+        for (var i = 0; i < Math.min(MAX_OWNERS, owners.size()); i++) {
+            var owner = owners.get(i);
+            if (CandidateFilter.inFlight(owner, nowUs) <= maxInFlight
+                    && ownerHasRoom(owner, service, request, firstHasCache && i == 0, nowUs)
+                    && !(isRemote(owner.region)
+                            && overload.withholds(
+                                    request, owner.region, service.model, withheldBy, nowUs))) {
+                return Optional.of(owner);
+            }
+        }
+        return Optional.empty();
     }
 
-    /**
-     * The replica of a region that the shared parts of a prompt belong to, the same at every edge.
-     */
-    private static Optional<ReplicaTable.Slot> topOf(
-            List<ReplicaTable.Slot> slots, Request e, String region) {
-        var best = Optional.<ReplicaTable.Slot>empty();
-        var top = Integer.MIN_VALUE;
-        for (var s : slots) {
-            if (s.region.equals(region) && !s.row.draining && !s.row.silent && !s.resting) {
-                var h = weight(e, s);
-                if (h > top) {
-                    top = h;
-                    best = Optional.of(s);
-                }
+    private int maxInFlightOfOwner(
+            List<ReplicaTable.Slot> owners,
+            RouteTable.Service service,
+            Request request,
+            long nowUs) {
+        var least = Integer.MAX_VALUE;
+        for (var owner : owners) {
+            if (filter.isUsable(owner, service, request, nowUs)) {
+                least = Math.min(least, CandidateFilter.inFlight(owner, nowUs));
             }
         }
-        return best;
+        return least == Integer.MAX_VALUE
+                ? OWNER_IN_FLIGHT
+                : OWNER_IN_FLIGHT + least * OWNER_IN_FLIGHT_FACTOR;
     }
 
-    /**
-     * Whether this replica is where some edge last sent the request's large shared parts, so that
-     * it need not read them.
-     */
-    boolean keeps(ReplicaTable.Slot s, Request e) {
-        return e.sizes.size() > 1
-                && e.sharedTokens() >= LARGE
-                && places.prefixOwner(sharedPart(e)).filter(s.row.id::equals).isPresent();
+    private boolean ownerHasRoom(
+            ReplicaTable.Slot owner,
+            RouteTable.Service service,
+            Request request,
+            boolean cached,
+            long nowUs) {
+        return filter.isUsable(owner, service, request, nowUs)
+                && !filter.isTooFullForKind(owner, service, request, nowUs)
+                && predictor.timeUs(owner, service, request, cached, nowUs)
+                        <= (cached ? cachedRoomUs(request, nowUs) : roomUs(request, nowUs));
     }
 
-    /**
-     * The prefix owner may take a little longer than another replica; and what will be late anyway
-     * is not read again elsewhere.
-     */
-    private static double roomOfPrefixOwner(Request e, long now) {
-        var gone = now - e.arrivedUs;
-        return gone > e.route.aimUs * 0.5
-                ? (e.deadlineUs - now) * 0.5
-                : e.route.aimUs * 0.85 - gone;
+    private static double cachedRoomUs(Request request, long nowUs) {
+        var ageUs = nowUs - request.arrivedUs();
+        var aimUs = request.route().aimUs;
+        return ageUs > aimUs * OWNER_LATE_FROM
+                ? (request.deadlineUs() - nowUs) * OWNER_LATE_ROOM
+                : aimUs * OWNER_ROOM - ageUs;
     }
 
-    /**
-     * Large shared parts belong to one replica of all allowed regions, so that each is read once:
-     * the one where some edge last sent it, then those by hash, the same at every edge; the first
-     * that is usable and has room is taken. Reports in force keep a share away as ever.
-     */
-    private Optional<ReplicaTable.Slot> prefixOwner(
-            List<ReplicaTable.Slot> slots,
-            RouteTable.Service svc,
-            Request e,
-            double room,
-            List<String> keptAway,
-            long now) {
-        var l = new ArrayList<ReplicaTable.Slot>();
-        for (var s : slots) {
-            if (e.route.allows(s.region) && !s.row.draining && !s.row.silent && !s.resting) {
-                l.add(s);
-            }
-        }
-        l.sort(Comparator.comparingInt((ReplicaTable.Slot s) -> weight(e, s)).reversed());
-        places.prefixOwner(sharedPart(e))
-                .flatMap(replicaTable::slot)
-                .filter(l::remove)
-                .ifPresent(s -> l.add(0, s));
-        var kept = !l.isEmpty() && keeps(l.get(0), e);
-        var least =
-                l.stream()
-                        .filter(s -> usable(s, svc, e, now))
-                        .mapToInt(s -> s.mine + s.othersInHand(now))
-                        .min()
-                        .orElse(0);
-        for (var i = 0; i < Math.min(3, l.size()); i++) {
-            var s = l.get(i);
-            var in = s.mine + s.othersInHand(now);
-            if (!usable(s, svc, e, now)
-                    || crowded(s, svc, e, now)
-                    || in > 16 + least * 2
-                    || replicaTable.predict(s, svc, e, kept && i == 0, now)
-                            > (kept && i == 0 ? roomOfPrefixOwner(e, now) : room)) {
+    // ---- by region
+
+    private Optional<ReplicaTable.Slot> selectByRegion(
+            List<ReplicaTable.Slot> replicas,
+            RouteTable.Service service,
+            Request request,
+            List<String> withheldBy,
+            long nowUs) {
+        var regions = regionsInOrder(replicas, request);
+        var servedHere = regions.contains(ownRegion);
+        var roomUs = roomUs(request, nowUs);
+        var fallback = Candidate.NONE;
+        for (var region : regions) {
+            var remote = isRemote(region);
+            var cheapest = cheapest(replicas, service, request, region, nowUs);
+            if (cheapest.replica.isEmpty()
+                    || remote && isWithheld(request, region, service, withheldBy, nowUs)) {
                 continue;
             }
-            var away = !s.region.equals(settings.region);
-            var k = s.region + "/" + svc.model;
-            if (away && e.sent == 0 && !keptAway.contains(k) && reports.select(k, now)) {
-                keptAway.add(k);
+            if (cheapest.costUs < roomUs && (!remote || servedHere)) {
+                return cheapest.replica;
             }
-            if (!away || !keptAway.contains(k)) {
-                return Optional.of(s);
+            if (cheapest.costUs < fallback.costUs) {
+                fallback = cheapest;
             }
         }
-        return Optional.empty();
+        return fallback.costUs < maxFallbackUs(request, nowUs)
+                ? fallback.replica
+                : Optional.empty();
+    }
+
+    private boolean isWithheld(
+            Request request,
+            String region,
+            RouteTable.Service service,
+            List<String> withheldBy,
+            long nowUs) {
+        return service.engine
+                && overload.withholds(request, region, service.model, withheldBy, nowUs);
     }
 
-    private static int mix(int x) {
-        x ^= x >>> 16;
-        x *= 0x7feb352d;
-        x ^= x >>> 15;
-        x *= 0x846ca68b;
-        return x ^ x >>> 16;
+    private static double maxFallbackUs(Request request, long nowUs) {
+        return Math.min(
+                request.route().aimUs * FALLBACK_LATENCY,
+                (request.deadlineUs() - nowUs) * FALLBACK_TIME_LEFT);
     }
 
-    private List<String> regions(List<ReplicaTable.Slot> slots, Request e) {
-        var l = new ArrayList<String>();
-        for (var s : slots) {
-            if (!l.contains(s.region) && e.route.allows(s.region)) {
-                l.add(s.region);
+    /** The allowed regions: the own one first, the others in turns. */
+    private List<String> regionsInOrder(List<ReplicaTable.Slot> replicas, Request request) {
+        var regions = new ArrayList<String>();
+        for (var replica : replicas) {
+            if (!regions.contains(replica.region) && request.route().allows(replica.region)) {
+                regions.add(replica.region);
             }
         }
-        Collections.rotate(l, turn++);
-        if (l.remove(settings.region)) {
-            l.add(0, settings.region);
+        Collections.rotate(regions, turn++);
+        if (regions.remove(ownRegion)) {
+            regions.add(0, ownRegion);
         }
-        return l;
+        return regions;
     }
 
-    /**
-     * Own region first while it has room; then, past the reports in force, the allowed region with
-     * the most room.
-     */
-    Optional<ReplicaTable.Slot> choose(Request e, long now) {
-        var svc =
-                Optional.ofNullable(table.services.get(e.service))
-                        .orElseGet(RouteTable.Service::new);
-        var slots = replicaTable.of(e.service);
-        var room = e.route.aimUs * 0.7 - (now - e.arrivedUs);
-        var fallback = new Pick(Optional.empty(), Double.MAX_VALUE);
-        var keptAway = new ArrayList<String>();
-        if (svc.engine && e.sharedTokens() >= LARGE) {
-            var k = prefixOwner(slots, svc, e, room, keptAway, now);
-            if (k.isPresent()) {
-                return chosen(new Pick(k, 0), keptAway, !k.get().region.equals(settings.region));
-            }
-        }
-        var home = regions(slots, e);
-        for (var g : home) {
-            var away = !g.equals(settings.region);
-            var p = best(slots, svc, e, g, now);
-            if (p.slot.isEmpty()) {
-                continue;
-            }
-            var k = g + "/" + svc.model;
-            if (away && keptAway.contains(k)) {
-                continue;
-            }
-            if (away && e.sent == 0 && svc.engine && reports.select(k, now)) {
-                keptAway.add(k);
+    private Candidate cheapest(
+            List<ReplicaTable.Slot> replicas,
+            RouteTable.Service service,
+            Request request,
+            String region,
+            long nowUs) {
+        var owner =
+                service.engine && request.prompt().hasShared()
+                        ? prefixCache.ownerInRegion(replicas, request, region)
+                        : Optional.<ReplicaTable.Slot>empty();
+        var cheapest = Optional.<ReplicaTable.Slot>empty();
+        var leastUs = Double.MAX_VALUE;
+        for (var replica : replicas) {
+            if (!replica.region.equals(region)
+                    || !filter.isUsable(replica, service, request, nowUs)
+                    || filter.isTooFullForKind(replica, service, request, nowUs)) {
                 continue;
             }
-            if (p.costUs < room && (!away || home.contains(settings.region))) {
-                return chosen(p, keptAway, away);
-            }
-            if (p.costUs < fallback.costUs) {
-                fallback = p;
+            var ownsPrefix = owner.isPresent() && owner.get() == replica;
+            var costUs = predictor.costUs(replica, service, request, ownsPrefix, nowUs);
+            if (costUs < leastUs) {
+                leastUs = costUs;
+                cheapest = Optional.of(replica);
             }
         }
-        if (fallback.slot.isPresent()
-                && fallback.costUs < Math.min(e.route.aimUs * 1.5, (e.deadlineUs - now) * 0.6)) {
-            return chosen(fallback, keptAway, !fallback.slot.get().region.equals(settings.region));
-        }
-        if (e.keptAway.isEmpty()) {
-            keptAway.forEach(k -> reports.at(k).held++);
-        }
-        e.keptAway = keptAway;
-        return Optional.empty();
-    }
-
-    private Optional<ReplicaTable.Slot> chosen(Pick p, List<String> keptAway, boolean away) {
-        keptAway.forEach(k -> reports.at(k).spilled++);
-        if (away) {
-            spilled++;
-        }
-        return p.slot;
+        return new Candidate(cheapest, leastUs);
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/Request.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Request.java
@@ -1,18 +1,22 @@
 package martenloom.edge.dispatch;
 
-import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import martenloom.common.clock.Clocks;
-import martenloom.edge.http.Head;
+import martenloom.edge.http.HeaderField;
+import martenloom.edge.http.MessageHead;
+import martenloom.edge.replica.Prompt;
 import martenloom.routing.route.RouteTable;
 
 /**
- * One request of a client on its way through the edge: what was asked, how long is left, which
- * attempts it has had and how far its answer has come. All changes of its state go through one
- * function.
+ * One request on its way through the edge: what was asked, how much time is left, which attempts it
+ * has had and how far its response has come.
+ *
+ * <p>States: {@code WAITING} → {@code RUNNING} with an attempt → {@code STREAMING} once the head of
+ * a stream was passed on; {@code RUNNING} → {@code WAITING} for a retry; a stream that is resumed
+ * stays {@code STREAMING}. {@code DONE} from any state and for good. {@link RequestCompletion} ends
+ * it. Runs on the reactor thread.
  */
 public final class Request {
     /** Where a request stands; exactly one at any time. */
@@ -23,114 +27,222 @@
         DONE
     }
 
-    /** How the client is told; called by the owner only. */
-    public interface Sink {
-        void whole(byte[] head, byte[] body);
+    private static final int USUAL_REPLICAS = 4;
+    private static final int NOT_A_JOB = -1;
 
-        void open(byte[] head);
+    private final MessageHead head;
+    private final byte[] body;
+    private final RouteTable.Route route;
+    private final String service;
+    private final ResponseSink sink;
+    private final String id;
+    private final String model;
+    private final Prompt prompt;
 
-        void event(byte[] b);
+    /** When the request was complete here. */
+    private final long arrivedUs;
 
-        void end();
+    /** When the client stops waiting, by what it said itself. */
+    private long clientDeadlineUs;
 
-        void cut();
+    /** When the request is ended, by the client and by the route. */
+    private long deadlineUs;
 
-        int waiting();
-    }
+    private State state = State.WAITING;
+    private Optional<Attempt> attempt = Optional.empty();
 
-    public final Head head;
-    public final byte[] body;
-    public final RouteTable.Route route;
-    public final String service;
-    public final String id;
-    public final long arrivedUs;
-    public final long deadlineUs;
-    public final long clientUs;
-    public final Sink sink;
-    public final List<String> parts = new ArrayList<>(4);
-    public final List<Integer> sizes = new ArrayList<>(4);
-    public int promptTokens;
-    public int outTokens;
-    public int sent;
-    public final Set<String> tried = new HashSet<>(4);
-    public boolean mayHaveRun;
-    public String lastEvent = "";
-    public String model = "";
-    public Optional<Attempt> attempt = Optional.empty();
+    /** Attempts that were sent and are over. */
+    private int attemptsMade;
 
-    /** 0 for an interactive request; a deferred job's urgency and one more otherwise. */
-    public int deferred;
+    /** Replicas that are not to be tried again for now. */
+    private final Set<String> triedReplicas = new HashSet<>(USUAL_REPLICAS);
 
-    /** The states of overload whose share this request fell into when it was last weighed. */
-    public List<String> keptAway = List.of();
+    /** Whether some replica may have executed it, wholly or in part. */
+    private boolean mayHaveRun;
 
-    private State state = State.WAITING;
+    /** The id of the last event of its stream that was passed on; empty for none. */
+    private String lastEventId;
+
+    /** A deferred job's urgency; {@link #NOT_A_JOB} for an interactive request. */
+    private int jobUrgency = NOT_A_JOB;
+
+    /** The overload states that withheld this request when it last found no replica. */
+    private List<String> withheldBy = List.of();
 
     /**
-     * The client's time runs from when its request began to come in, the route's from when it was
-     * whole.
+     * @param arrivedUs when the request was complete; the route's time runs from here, and the
+     *     client's too until {@link #countClientTimeFrom} says otherwise
      */
     public Request(
-            Head h, byte[] b, RouteTable.Route r, String service, Sink s, long beganUs, long now) {
-        head = h;
-        body = b;
-        route = r;
+            MessageHead head,
+            byte[] body,
+            RouteTable.Route route,
+            String service,
+            ResponseSink sink,
+            long arrivedUs) {
+        this.head = head;
+        this.body = body;
+        this.route = route;
         this.service = service;
-        sink = s;
-        id = h.get("X-Attempt-Id");
-        arrivedUs = now;
-        var left = millis(h.get("X-Time-Remaining"));
-        clientUs = left >= 0 ? beganUs + left * 1000 : Long.MAX_VALUE;
-        deadlineUs = Math.min(clientUs, now + r.timeoutUs);
-        model = h.get("X-Model");
-        lastEvent = h.get("Last-Event-Id");
-        prompt();
-    }
-
-    private static long millis(String s) {
-        try {
-            return s.isEmpty() ? -1 : (long) Double.parseDouble(s);
-        } catch (NumberFormatException e) {
-            return -1;
-        }
+        this.sink = sink;
+        this.arrivedUs = arrivedUs;
+        id = head.get(HeaderField.ATTEMPT_ID);
+        model = head.get(HeaderField.MODEL);
+        lastEventId = head.get(HeaderField.LAST_EVENT_ID);
+        prompt = new Prompt(head.get(HeaderField.PROMPT_PREFIX), head.get(HeaderField.TOKEN_USAGE));
+        var remainingMs = HeaderField.parseNumber(head.get(HeaderField.TIME_REMAINING));
+        clientDeadlineUs = remainingMs >= 0 ? arrivedUs + remainingMs * 1000 : Long.MAX_VALUE;
+        deadlineUs = Math.min(clientDeadlineUs, arrivedUs + route.timeoutUs);
     }
 
-    private void prompt() {
-        for (var p : head.get("X-Prompt-Prefix").split(",")) {
-            var i = p.lastIndexOf(':');
-            var n = i < 1 ? -1 : millis(p.substring(i + 1));
-            if (n >= 0) {
-                parts.add(p.substring(0, i).strip());
-                sizes.add((int) n);
-            }
+    /** The client's time runs from the moment at which its request began to come in. */
+    void countClientTimeFrom(long beganUs) {
+        if (clientDeadlineUs != Long.MAX_VALUE) {
+            clientDeadlineUs += beganUs - arrivedUs;
+            deadlineUs = Math.min(clientDeadlineUs, arrivedUs + route.timeoutUs);
         }
-        var u = head.get("X-Token-Usage").split(",");
-        promptTokens = (int) Math.max(0, millis(u[0].strip()));
-        outTokens = u.length > 1 ? (int) Math.max(0, millis(u[1].strip())) : 0;
     }
 
-    /** Tokens in the parts that others share: all but the last. */
-    public int sharedTokens() {
-        var n = 0;
-        for (var i = 0; i + 1 < sizes.size(); i++) {
-            n += sizes.get(i);
-        }
-        return n;
+    /** Makes it a deferred job, which resumes behind an event that it had before. */
+    void makeJob(int urgency, String lastEventId) {
+        jobUrgency = urgency;
+        this.lastEventId = lastEventId;
+    }
+
+    // ---- what was asked
+
+    MessageHead head() {
+        return head;
+    }
+
+    byte[] body() {
+        return body;
+    }
+
+    RouteTable.Route route() {
+        return route;
+    }
+
+    String service() {
+        return service;
+    }
+
+    ResponseSink sink() {
+        return sink;
+    }
+
+    String id() {
+        return id;
+    }
+
+    /** The model that is asked for, or the empty string. */
+    String model() {
+        return model;
+    }
+
+    Prompt prompt() {
+        return prompt;
+    }
+
+    boolean isJob() {
+        return jobUrgency != NOT_A_JOB;
+    }
+
+    int jobUrgency() {
+        return jobUrgency;
+    }
+
+    // ---- times
+
+    /** When the request was complete here. */
+    public long arrivedUs() {
+        return arrivedUs;
+    }
+
+    long clientDeadlineUs() {
+        return clientDeadlineUs;
     }
 
-    public State state() {
+    long deadlineUs() {
+        return deadlineUs;
+    }
+
+    /** All the time it had from its arrival to its deadline. */
+    long totalTimeUs() {
+        return deadlineUs - arrivedUs;
+    }
+
+    // ---- state
+
+    State state() {
         return state;
     }
 
-    public void become(State s) {
-        state = s;
+    void become(State newState) {
+        state = newState;
     }
 
-    public boolean done() {
+    boolean done() {
         return state == State.DONE;
     }
 
-    public long ageUs() {
-        return Clocks.nowUs() - arrivedUs;
+    boolean streaming() {
+        return state == State.STREAMING;
+    }
+
+    // ---- attempts
+
+    Optional<Attempt> attempt() {
+        return attempt;
+    }
+
+    void setAttempt(Attempt newAttempt) {
+        attempt = Optional.of(newAttempt);
+    }
+
+    void clearAttempt() {
+        attempt = Optional.empty();
+    }
+
+    int attemptsMade() {
+        return attemptsMade;
+    }
+
+    void countAttempt() {
+        attemptsMade++;
+    }
+
+    /** Takes back what {@link #countAttempt} counted, when the attempt goes on after all. */
+    void uncountAttempt() {
+        attemptsMade--;
+    }
+
+    Set<String> triedReplicas() {
+        return triedReplicas;
+    }
+
+    boolean mayHaveRun() {
+        return mayHaveRun;
+    }
+
+    void markMayHaveRun() {
+        mayHaveRun = true;
+    }
+
+    /** The id of the last event that was passed on; empty for none. */
+    public String lastEventId() {
+        return lastEventId;
+    }
+
+    void setLastEventId(String newId) {
+        lastEventId = newId;
+    }
+
+    List<String> withheldBy() {
+        return withheldBy;
+    }
+
+    void setWithheldBy(List<String> overloadStates) {
+        withheldBy = overloadStates;
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
@@ -9,45 +9,51 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.common.clock.Clocks;
+import martenloom.edge.http.ErrorResponse;
+import martenloom.edge.http.HttpStatus;
 import martenloom.edge.overload.Overload;
 
 /**
- * The requests that are open, their deadlines and their ends. A request is ended exactly once: by
- * an answer, a refusal, a failure or a cut of its stream. A refusal promises the client that its
- * request was not run, so it is given only where that is so; a stream that has begun can only be
- * cut. All methods run on the thread of the reactor.
+ * The open requests, their deadlines and their ends. A request is ended exactly once: by a
+ * response, a rejection, a failure or the abort of its stream. A rejection promises the client that
+ * its request was not run, so it is given only where that is so; a stream that has begun can only
+ * be aborted. Runs on the reactor thread.
  */
 final class RequestCompletion {
-    static final int MAY_HAVE_RUN = 502;
-    private static final int REFUSED = 503;
-    private static final int OUT_OF_TIME = 504;
+    /** The status for a request that a replica may have run, and that is not retried. */
+    static final int MAY_HAVE_RUN = HttpStatus.BAD_GATEWAY;
 
     /** After how long a client may come again when its request found no replica in its time. */
-    private static final double REFUSED_WAIT_S = 0.3;
+    private static final double RETRY_AFTER_S = 0.3;
 
-    private static final byte[] NO_BODY = new byte[0];
+    /** The smallest part of a wait that a client is given. */
+    private static final double LEAST_WAIT_FACTOR = 0.75;
+
+    private static final int WAIT_STEP = 7;
+    private static final int WAIT_STEPS = 100;
+    private static final double WAIT_STEPS_PER_UNIT = 200.0;
 
     private final Eventloop loop;
-    private final RequestDispatcher.Counters counters;
-    private final Overload.Receiver reports;
-    private final SpreadCounter spread;
+    private final DispatchCounters counters;
+    private final Overload.Receiver overloadReports;
+    private final RoundRobinCounter roundRobin;
     private final Map<Request, Clocks.Timer> deadlines = new HashMap<>();
 
     RequestCompletion(
             Eventloop loop,
-            RequestDispatcher.Counters counters,
-            Overload.Receiver reports,
-            SpreadCounter spread) {
+            DispatchCounters counters,
+            Overload.Receiver overloadReports,
+            RoundRobinCounter roundRobin) {
         this.loop = loop;
         this.counters = counters;
-        this.reports = reports;
-        this.spread = spread;
+        this.overloadReports = overloadReports;
+        this.roundRobin = roundRobin;
     }
 
     /** Opens a request, which is ended at its deadline if it isn't before. */
-    void open(Request request, long now) {
-        var left = request.deadlineUs - now;
-        deadlines.put(request, Clocks.after(loop, left, () -> onDeadline(request)));
+    void open(Request request, long nowUs) {
+        var leftUs = request.deadlineUs() - nowUs;
+        deadlines.put(request, Clocks.after(loop, leftUs, () -> onDeadline(request)));
     }
 
     /** The requests that are open, deferred jobs among them. */
@@ -55,65 +61,69 @@
         return Collections.unmodifiableSet(deadlines.keySet());
     }
 
-    /** Ends a request whose answer is passed on by the caller. */
+    /** Ends a request whose response is passed on by the caller. */
     void finish(Request request) {
         request.become(Request.State.DONE);
         Optional.ofNullable(deadlines.remove(request)).ifPresent(Clocks.Timer::cancel);
-        if (request.sink instanceof ClientConnection client) {
-            client.request = Optional.empty();
+        if (request.sink() instanceof ClientConnection client) {
+            client.detachRequest();
         }
     }
 
-    /** Ends a request that nobody waits for any longer, and gives its attempt up. */
-    void drop(Request request) {
+    /** Ends a request that nobody waits for any longer, and abandons its attempt. */
+    void cancel(Request request) {
         if (!request.done()) {
-            var attempt = request.attempt;
+            var attempt = request.attempt();
             finish(request);
-            attempt.ifPresent(Attempt::giveUp);
+            attempt.ifPresent(Attempt::abandon);
         }
     }
 
-    /** Refuses a request, to be sent again after about this wait, unless it may have run. */
-    void refuse(Request request, double waitS) {
-        if (request.state() == Request.State.STREAMING) {
-            cutOff(request);
+    /** Rejects a request, to be sent again after about this wait, unless it may have run. */
+    void reject(Request request, double retryAfterS) {
+        if (request.streaming()) {
+            abortStream(request);
             return;
         }
-        if (request.mayHaveRun && !request.route.repeatable()) {
+        if (request.mayHaveRun() && !request.route().repeatable()) {
             fail(request, MAY_HAVE_RUN);
             return;
         }
         finish(request);
-        counters.refused++;
-        request.keptAway.forEach(key -> reports.at(key).refused++);
-        request.sink.whole(ClientConnection.plain(REFUSED, spreadWait(waitS)), NO_BODY);
+        counters.countRejected();
+        request.withheldBy().forEach(key -> overloadReports.at(key).refused++);
+        request.sink()
+                .respond(
+                        ErrorResponse.head(HttpStatus.SERVICE_UNAVAILABLE, spreadOut(retryAfterS)),
+                        ErrorResponse.noBody());
     }
 
     /** The wait spread over half its length, so that clients don't come back all at once. */
-    private String spreadWait(double waitS) {
-        var factor = 0.75 + Math.floorMod(spread.next(7), 100) / 200.0;
-        return String.format(Locale.ROOT, "%.2f", waitS * factor);
+    private String spreadOut(double retryAfterS) {
+        var step = Math.floorMod(roundRobin.next(WAIT_STEP), WAIT_STEPS);
+        var factor = LEAST_WAIT_FACTOR + step / WAIT_STEPS_PER_UNIT;
+        return String.format(Locale.ROOT, "%.2f", retryAfterS * factor);
     }
 
     /** Ends a request with an error status. */
     void fail(Request request, int status) {
-        if (request.state() == Request.State.STREAMING) {
-            cutOff(request);
+        if (request.streaming()) {
+            abortStream(request);
             return;
         }
         finish(request);
-        counters.failed++;
-        request.sink.whole(ClientConnection.plain(status, ""), NO_BODY);
+        counters.countFailed();
+        request.sink().respond(ErrorResponse.head(status), ErrorResponse.noBody());
     }
 
     /** Ends a stream in its middle. */
-    void cutOff(Request request) {
+    void abortStream(Request request) {
         finish(request);
-        counters.failed++;
-        request.sink.cut();
+        counters.countFailed();
+        request.sink().abortStream();
     }
 
-    /** Ends a request for which there are no further attempts. */
+    /** Ends a request that is not retried any more. */
     void giveUp(Request request) {
         endWith(request, MAY_HAVE_RUN);
     }
@@ -123,35 +133,36 @@
         if (request.done()) {
             return;
         }
-        counters.timeouts++;
-        endUnfinished(request);
-    }
-
-    /** A final answer for a request whose time is over: a promise only where it never ran. */
-    void endUnfinished(Request request) {
-        var attempt = request.attempt;
-        var sent = attempt.isPresent() && attempt.get().state() != Attempt.State.OPENING;
-        request.mayHaveRun |= sent;
-        endWith(request, OUT_OF_TIME);
-        attempt.ifPresent(Attempt::giveUp);
+        counters.countTimedOut();
+        terminate(request);
     }
 
-    /** Ends all interactive requests: what has no answer gets one, and streams are cut. */
-    void endAll() {
+    /** Ends all interactive requests: what has no response gets one, and streams are aborted. */
+    void terminateAll() {
         for (var request : List.copyOf(deadlines.keySet())) {
-            if (request.deferred == 0) {
-                endUnfinished(request);
+            if (!request.isJob()) {
+                terminate(request);
             }
         }
     }
 
+    /** Ends a request whose time is over: by a rejection only if it was never sent. */
+    private void terminate(Request request) {
+        var attempt = request.attempt();
+        if (attempt.isPresent() && !attempt.get().connecting()) {
+            request.markMayHaveRun();
+        }
+        endWith(request, HttpStatus.GATEWAY_TIMEOUT);
+        attempt.ifPresent(Attempt::abandon);
+    }
+
     private void endWith(Request request, int statusIfMayHaveRun) {
-        if (request.state() == Request.State.STREAMING) {
-            cutOff(request);
-        } else if (request.mayHaveRun) {
+        if (request.streaming()) {
+            abortStream(request);
+        } else if (request.mayHaveRun()) {
             fail(request, statusIfMayHaveRun);
         } else {
-            refuse(request, REFUSED_WAIT_S);
+            reject(request, RETRY_AFTER_S);
         }
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -11,380 +11,330 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
-import martenloom.edge.budget.RetryBudget;
-import martenloom.edge.http.Head;
+import martenloom.edge.http.ErrorResponse;
+import martenloom.edge.http.HttpStatus;
+import martenloom.edge.http.MessageHead;
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.PrefixOwners;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.route.RouteTable;
 
 /**
- * The owner of all requests at this edge. Clients and attempts tell it events; it answers with
- * commands: an attempt at a replica, a wait in the queue, an answer, a cut. Admission, further
- * attempts and their budget are decided here; which replica is the chooser's.
+ * The owner of all requests at this edge: admits them, queues those that find no replica, and wires
+ * the events of clients, attempts, the core and the clock to the classes that decide. Which replica
+ * a request goes to is {@link ReplicaSelector}'s matter, what follows an attempt {@link
+ * RetryPolicy}'s. Runs on the reactor thread.
  */
 public final class RequestDispatcher
-        implements ClientConnection.RequestDispatcher, RequestQueues.Owner, AttemptResults.Owner {
+        implements ClientConnection.RequestHandler, RequestQueues.Owner, AttemptHandler.Owner {
+    /** Services of a route are drawn by its weights in steps of this prime. */
+    private static final int SERVICE_STEP = 61;
+
+    /** File descriptors that are left to other things than clients and their replicas. */
+    private static final int RESERVED_FDS = 200;
+
+    /** A request with less time left than this is rejected when it comes. */
+    private static final long LEAST_LEFT_US = 1000;
+
+    /** After how long a client may come again that had too little time. */
+    private static final double RETRY_AFTER_TOO_LATE_S = 0.1;
+
+    /** After how long a client may come again when the queue of its service is full. */
+    private static final double RETRY_AFTER_FULL_S = 1;
+
+    /** The wait of clients before the first configuration, less the time since the start. */
+    private static final double RETRY_AFTER_START_S = 2;
+
+    private static final double LEAST_RETRY_AFTER_START_S = 0.4;
+    private static final double US_PER_S = 1e6;
+
+    /** The parts of the latency target and of its time for which a request may be queued. */
+    private static final int MAX_WAIT_OF_LATENCY = 5;
+
+    private static final int MAX_WAIT_OF_TIME = 3;
+
     private final Eventloop loop;
     private final Settings settings;
-    public final ReplicaTable replicaTable;
-    public final RetryBudget budget;
-    public final PrefixOwners places = new PrefixOwners();
-    public final Overload.Receiver reports = new Overload.Receiver();
-    private final Set<ClientConnection> clients = new LinkedHashSet<>();
+    private final ReplicaTable replicaTable;
+    private final PrefixOwners prefixOwners = new PrefixOwners();
+    private final Overload.Receiver overloadReports = new Overload.Receiver();
+    private final DispatchCounters counters = new DispatchCounters();
+    private final RoundRobinCounter roundRobin = new RoundRobinCounter();
+    private final ShutdownAdmissionPolicy admission = new ShutdownAdmissionPolicy();
+    private final OverloadReduction overload = new OverloadReduction(overloadReports);
     private final RequestQueues queues = new RequestQueues(this);
-    private final SilenceWatch silence = new SilenceWatch(this::table, this::move);
-    private final ReplicaSelector chooser;
-    private boolean leaving;
-    private final LateRequestPolicy late = new LateRequestPolicy();
-    private final long startUs = Clocks.nowUs();
-    private final SpreadCounter spread = new SpreadCounter();
-    public final Counters counters = new Counters();
+    private final ClusterView cluster;
+    private final CandidateFilter filter;
+    private final AttemptStarter starter;
+    private final StallDetector stallDetector;
     private final RequestCompletion completion;
-    private final AttemptResults results;
-
-    /** Counts for the shell; plain numbers since the start. */
-    public static final class Counters {
-        public long requests;
-        public long served;
-        public long refused;
-        public long failed;
-        public long repeats;
-        public long resumed;
-        public long timeouts;
-        public long moved;
-        public long jobs;
-    }
+    private final AttemptHandler attemptHandler;
+    private final Set<ClientConnection> clients = new LinkedHashSet<>();
+    private final long startedUs = Clocks.nowUs();
+    private boolean closesConnections;
+    private boolean drainPosted;
 
     public RequestDispatcher(Eventloop loop, Settings settings, ReplicaTable replicaTable) {
         this.loop = loop;
         this.settings = settings;
         this.replicaTable = replicaTable;
-        chooser = new ReplicaSelector(settings, replicaTable, places, reports);
-        completion = new RequestCompletion(loop, counters, reports, spread);
-        results = new AttemptResults(loop, replicaTable, completion, late, counters, this);
-        budget =
-                new RetryBudget(
-                        settings.bounds.retryRatio,
-                        settings.bounds.retryWindowS,
-                        settings.bounds.retrySlack);
+        cluster = new ClusterView(replicaTable);
+        filter = new CandidateFilter(settings, replicaTable, cluster);
+        var prefixCache = new PrefixCacheOwnership(replicaTable, prefixOwners);
+        var selector =
+                new ReplicaSelector(settings, replicaTable, cluster, filter, prefixCache, overload);
+        starter = new AttemptStarter(loop, settings, cluster, selector, prefixCache, counters);
+        stallDetector = new StallDetector(cluster);
+        completion = new RequestCompletion(loop, counters, overloadReports, roundRobin);
+        attemptHandler =
+                new AttemptHandler(loop, replicaTable, completion, admission, counters, this);
     }
 
-    // ---- what the core tells
+    // ---- what it shares
 
-    public void onTable(RouteTable table) {
-        chooser.onTable(table);
+    /** What this edge knows of the replicas. */
+    public ReplicaTable replicaTable() {
+        return replicaTable;
     }
 
-    public void onPlaced(Map<String, ScaleRunner.Placed> placed) {
-        chooser.onPlaced(placed);
+    /** Where large shared segments of prompts were last sent. */
+    public PrefixOwners prefixOwners() {
+        return prefixOwners;
     }
 
-    public void onEvacuated(Set<String> zones, long now) {
-        chooser.onEvacuated(zones, now);
+    /** The overload reports of other regions. */
+    public Overload.Receiver overloadReports() {
+        return overloadReports;
     }
 
-    public void onEdges(int edges) {
-        chooser.onEdges(edges);
+    public DispatchCounters counters() {
+        return counters;
     }
 
-    public int edges() {
-        return chooser.edges();
+    /** Requests that went to another region. */
+    public long spilled() {
+        return overload.spilled();
     }
 
-    public Set<String> evacuated() {
-        return chooser.evacuated();
+    /** Requests that are open, deferred jobs among them. */
+    public int requestsInFlight() {
+        return completion.openRequests().size();
     }
 
-    public long spilled() {
-        return chooser.spilled();
+    public int clientConnections() {
+        return clients.size();
     }
 
     /**
-     * From now on answers carry "Connection: close", and idle connections are closed after a
-     * moment.
+     * Adds the interactive requests in flight at models to a summary, by region and model: each
+     * where it runs, else here.
      */
-    public void closeConnections() {
-        leaving = true;
+    public void addRequestsInFlight(LoadSummary summary) {
+        for (var request : completion.openRequests()) {
+            var service = table().services.get(request.service());
+            if (!request.isJob() && service != null && service.engine) {
+                var region =
+                        request.attempt()
+                                .map(attempt -> attempt.replica().region)
+                                .orElse(settings.region);
+                summary.fly(ClusterView.regionAndModel(region, service.model));
+            }
+        }
     }
 
-    /**
-     * From now on only requests are begun that should end before this moment, by the longest time
-     * that their route took lately, and streams that may last longer than that are withheld until
-     * they are whole; the others are refused.
-     */
-    public void takeOnlyUntil(long endUs) {
-        late.takeOnlyUntil(endUs);
-    }
+    // ---- what the core tells
 
-    /**
-     * Whether a client still waits for anything: for an answer, or for bytes of one that are on
-     * their way out.
-     */
-    public boolean holdsAnything() {
-        return completion.openRequests().stream().anyMatch(request -> request.deferred == 0)
-                || clients.stream().anyMatch(ClientConnection::unsent);
+    /** The route table in force. */
+    public RouteTable table() {
+        return cluster.table();
     }
 
-    /** Ends all that is in hand: what is not yet answered gets an answer, and streams are cut. */
-    public void endAll() {
-        completion.endAll();
+    /** The most edges that there ever were. */
+    public int edgeCount() {
+        return cluster.edgeCount();
     }
 
-    public int inHand() {
-        return completion.openRequests().size();
+    public Set<String> evacuatedZones() {
+        return cluster.evacuatedZones();
     }
 
-    public int connections() {
-        return clients.size();
+    public void onTable(RouteTable table) {
+        cluster.setTable(table);
     }
 
-    public void closeIdle() {
-        for (var client : List.copyOf(clients)) {
-            if (client.idle()) {
-                client.close();
-            }
-        }
+    /** Takes the placement of replicas, by region and model. */
+    public void onPlacements(Map<String, ReplicaPlacement> placements) {
+        cluster.setPlacements(placements);
     }
 
-    @Override
-    public RouteTable table() {
-        return chooser.table();
+    public void onEvacuatedZones(Set<String> zones, long nowUs) {
+        cluster.setEvacuatedZones(zones, nowUs);
     }
 
-    @Override
-    public boolean leaving() {
-        return leaving;
+    public void onEdgeCount(int mostEver) {
+        cluster.setEdgeCount(mostEver);
     }
 
-    /**
-     * Our requests in flight at models, by region and model: from acceptance to the end, each where
-     * it runs, else here.
-     */
-    public void inFlight(LoadSummary sums) {
-        for (var request : completion.openRequests()) {
-            var service = table().services.get(request.service);
-            if (request.deferred == 0 && service != null && service.engine) {
-                sums.fly(
-                        request.attempt.map(attempt -> attempt.slot.region).orElse(settings.region)
-                                + "/"
-                                + service.model);
-            }
-        }
+    /** Takes a record of a replica; one that is gone is dropped. */
+    public void onReplica(ReplicaRecord replica) {
+        replicaTable.take(replica);
+        replicaTable.slot(replica.id).ifPresent(cluster::markResting);
     }
 
-    // ---- events from clients
+    // ---- requests of clients
+
+    @Override
+    public RouteTable.Limits clientLimits() {
+        return table().limits;
+    }
 
     @Override
     public void onOpened(ClientConnection client) {
         clients.add(client);
-        if (clients.size() > (settings.maxFds - 200) / 2) {
+        if (clients.size() > (settings.maxFds - RESERVED_FDS) / 2) {
             loop.post(client::close);
         }
     }
 
     @Override
-    public void onGone(ClientConnection client) {
+    public void onClosed(ClientConnection client) {
         clients.remove(client);
-        client.request.ifPresent(
-                request -> {
-                    client.request = Optional.empty();
-                    completion.drop(request);
-                });
+        client.request()
+                .ifPresent(
+                        request -> {
+                            client.detachRequest();
+                            completion.cancel(request);
+                        });
     }
 
     @Override
-    public void onRequest(ClientConnection client, Head head, byte[] body) {
+    public void onRequest(ClientConnection client, MessageHead head, byte[] body) {
         var now = Clocks.nowUs();
-        counters.requests++;
+        counters.countRequest();
         if (table().revision == 0) {
-            refuseWithoutTable(client, now);
+            rejectBeforeConfiguration(client, now);
             return;
         }
-        var route = findRoute(head);
-        if (route.isEmpty()) {
-            client.whole(ClientConnection.plain(404, ""), new byte[0]);
+        var found = RouteLookup.find(table(), head);
+        if (found.isEmpty()) {
+            client.respond(ErrorResponse.head(HttpStatus.NOT_FOUND), ErrorResponse.noBody());
             return;
         }
-        var request =
-                new Request(
-                        head,
-                        body,
-                        route.get(),
-                        route.get().service(spread.next(61)),
-                        late.sink(client, route.get(), now),
-                        client.beganUs(),
-                        now);
-        client.request = Optional.of(request);
-        budget.request(request.service, now);
-        replicaTable.weigh(request);
-        if (request.deadlineUs <= now + 1000 || late.tooLate(request, now)) {
-            completion.refuse(request, 0.1);
+        var route = found.get();
+        var service = route.service(roundRobin.next(SERVICE_STEP));
+        var sink = admission.sinkFor(client, route, now);
+        var request = new Request(head, body, route, service, sink, now);
+        request.countClientTimeFrom(client.requestBeganUs());
+        client.attach(request);
+        admit(request, now);
+    }
+
+    private void admit(Request request, long nowUs) {
+        starter.onRequest(request, nowUs);
+        replicaTable.weigh(request.route(), request.prompt());
+        if (request.deadlineUs() <= nowUs + LEAST_LEFT_US || admission.tooLate(request, nowUs)) {
+            completion.reject(request, RETRY_AFTER_TOO_LATE_S);
             return;
         }
-        completion.open(request, now);
-        if (!dispatch(request, now)) {
-            enqueue(request, now);
+        completion.open(request, nowUs);
+        if (!dispatch(request, nowUs)) {
+            enqueue(request, nowUs);
         }
     }
 
     /** Until the first configuration has come, clients are told to come again soon. */
-    private void refuseWithoutTable(ClientConnection client, long now) {
-        var waitS = Math.max(0.4, 2 - (now - startUs) / 1e6);
-        var wait = String.format(Locale.ROOT, "%.2f", waitS);
-        client.whole(ClientConnection.plain(503, wait), new byte[0]);
-    }
-
-    /** The route of a request by its host without the port, else by its host as it stands. */
-    private Optional<RouteTable.Route> findRoute(Head head) {
-        var host = head.get("Host").toLowerCase(Locale.ROOT);
-        var port = host.indexOf(':');
-        var path = path(head);
-        var route = table().find(port < 0 ? host : host.substring(0, port), path);
-        return route.isEmpty() && port >= 0 ? table().find(host, path) : route;
-    }
-
-    private static String path(Head head) {
-        var query = head.two.indexOf('?');
-        return query < 0 ? head.two : head.two.substring(0, query);
+    private void rejectBeforeConfiguration(ClientConnection client, long nowUs) {
+        var waitS =
+                Math.max(
+                        LEAST_RETRY_AFTER_START_S,
+                        RETRY_AFTER_START_S - (nowUs - startedUs) / US_PER_S);
+        client.respond(
+                ErrorResponse.head(
+                        HttpStatus.SERVICE_UNAVAILABLE, String.format(Locale.ROOT, "%.2f", waitS)),
+                ErrorResponse.noBody());
     }
 
     // ---- deferred jobs
 
     /**
-     * Whether some replica has room to spare for a job of this urgency, past what interactive
+     * Whether some replica has capacity to spare for a job of this urgency, past what interactive
      * requests need.
      */
-    public boolean jobRoom(String route, int urgency) {
-        return !leaving && chooser.jobRoom(route, urgency);
+    public boolean hasJobCapacity(String route, int urgency) {
+        return !closesConnections && filter.hasJobCapacity(route, urgency, Clocks.nowUs());
     }
 
     /**
-     * Starts a job as an request of its own kind: it never waits in an queue, where it could stand
-     * before others.
+     * Starts a job as a request of its own kind: it is never queued, where it could stand before
+     * others.
+     *
+     * @param lastEventId the event behind which the job is resumed; empty for none
      */
     public Optional<Request> startJob(
-            Head head, byte[] body, Request.Sink sink, int urgency, String lastEvent) {
+            MessageHead head, byte[] body, ResponseSink sink, int urgency, String lastEventId) {
         var now = Clocks.nowUs();
-        var route = table().find(head.get("Host").toLowerCase(Locale.ROOT), path(head));
+        var route = RouteLookup.findForJob(table(), head);
         if (route.isEmpty()) {
             return Optional.empty();
         }
-        var request =
-                new Request(
-                        head,
-                        body,
-                        route.get(),
-                        route.get().service(spread.next(61)),
-                        sink,
-                        now,
-                        now);
-        request.deferred = urgency + 1;
-        request.lastEvent = lastEvent;
+        var service = route.get().service(roundRobin.next(SERVICE_STEP));
+        var request = new Request(head, body, route.get(), service, sink, now);
+        request.makeJob(urgency, lastEventId);
         completion.open(request, now);
         if (!dispatch(request, now)) {
             completion.finish(request);
             return Optional.empty();
         }
-        counters.jobs++;
+        counters.countJob();
         return Optional.of(request);
     }
 
-    public void dropJob(Request request) {
-        completion.drop(request);
+    /** Ends a job that nobody waits for any longer. */
+    public void cancelJob(Request request) {
+        completion.cancel(request);
     }
 
-    // ---- queue
-
-    @Override
-    public void refuse(Request request, double waitS) {
-        completion.refuse(request, waitS);
-    }
+    // ---- attempts and queues
 
     @Override
-    public long holdUs(Request request) {
-        if (chooser.asleep(request)) {
-            return (request.deadlineUs - request.arrivedUs) / 2;
-        }
-        return Math.min(request.route.aimUs / 5, (request.deadlineUs - request.arrivedUs) / 3);
+    public boolean dispatch(Request request, long nowUs) {
+        return starter.start(request, attemptHandler, nowUs);
     }
 
     @Override
-    public void enqueue(Request request, long now) {
-        if (request.deferred > 0) {
+    public void enqueue(Request request, long nowUs) {
+        if (request.isJob()) {
             completion.giveUp(request);
-        } else if (request.sent > 0 && request.mayHaveRun && !request.route.repeatable()) {
+        } else if (!RetryPolicy.mayWaitForRetry(request)) {
             completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
         } else if (!queues.add(request)) {
-            completion.refuse(request, 1);
+            completion.reject(request, RETRY_AFTER_FULL_S);
         }
     }
 
     @Override
-    public boolean dispatch(Request request, long now) {
-        var chosen = chooser.choose(request, now);
-        if (chosen.isEmpty()) {
-            return false;
-        }
-        if (request.sent > 0 && !budget.spend(request.service, edges(), now)) {
-            return false;
-        }
-        var service = table().services.get(request.service);
-        var slot = chosen.get();
-        var kept = chooser.keeps(slot, request);
-        var attempt = new Attempt(request, slot, slot.unread(request, kept), results);
-        attempt.aheadTokens = slot.unread + slot.othersUnread(now);
-        attempt.ownTokens = ownTokens(request, slot, kept);
-        request.attempt = Optional.of(attempt);
-        request.become(
-                request.state() == Request.State.STREAMING
-                        ? Request.State.STREAMING
-                        : Request.State.RUNNING);
-        slot.mine++;
-        slot.unread += attempt.unread;
-        slot.attempts.add(attempt);
-        if (request.sent > 0) {
-            counters.repeats++;
-        }
-        if (service != null && service.engine) {
-            slot.keep(request, service.cacheTokens);
-            if (request.sharedTokens() >= ReplicaSelector.LARGE) {
-                places.put(ReplicaSelector.sharedPart(request), slot.row.id);
-            }
-        }
-        attempt.start(loop, slot.region.equals(settings.region) ? 400 : 700);
-        return true;
+    public void reject(Request request, double retryAfterS) {
+        completion.reject(request, retryAfterS);
     }
 
-    /**
-     * Tokens that the replica certainly has to read: all when nobody sent the shared parts there,
-     * else the own part.
-     */
-    private static int ownTokens(Request request, ReplicaTable.Slot slot, boolean kept) {
-        if (request.sizes.isEmpty()) {
-            return request.promptTokens;
+    @Override
+    public long maxWaitUs(Request request) {
+        if (filter.allResting(request)) {
+            return request.totalTimeUs() / 2;
         }
-        var all =
-                !kept
-                        && request.sharedTokens() >= ReplicaSelector.LARGE
-                        && !slot.has(ReplicaSelector.sharedPart(request));
-        return all
-                ? request.promptTokens
-                : slot.has(request.parts.get(request.parts.size() - 1))
-                        ? 0
-                        : request.sizes.get(request.sizes.size() - 1);
+        return Math.min(
+                request.route().aimUs / MAX_WAIT_OF_LATENCY,
+                request.totalTimeUs() / MAX_WAIT_OF_TIME);
     }
 
-    private boolean roomPosted;
-
     @Override
-    public void onRoom() {
-        if (!roomPosted && queues.anyWaits()) {
-            roomPosted = true;
+    public void onCapacityFreed() {
+        if (!drainPosted && queues.anyWaiting()) {
+            drainPosted = true;
             loop.post(
                     () -> {
-                        roomPosted = false;
+                        drainPosted = false;
                         queues.drain(Clocks.nowUs());
                     });
         }
@@ -392,22 +342,23 @@
 
     // ---- time
 
-    /** Every 20 ms: the queues, and replicas that have gone quiet with attempts in hand. */
+    /** Every 20 ms: offers what is queued again, and finds unresponsive replicas. */
     public void tick() {
         var now = Clocks.nowUs();
         queues.drain(now);
-        for (var slot : List.copyOf(replicaTable.all())) {
-            silence.check(slot, now);
+        for (var replica : List.copyOf(replicaTable.all())) {
+            stallDetector.check(replica, now);
         }
     }
 
+    /** Twice a second: closes connections that are idle for too long or of no use any more. */
     public void sweep() {
         var now = Clocks.nowUs();
         for (var client : List.copyOf(clients)) {
-            client.check(now);
+            client.enforceTimeouts(now);
         }
-        for (var slot : replicaTable.all()) {
-            for (var connection : List.copyOf(slot.idle)) {
+        for (var replica : replicaTable.all()) {
+            for (var connection : List.copyOf(replica.idle)) {
                 if (!connection.usable(now)) {
                     connection.close();
                 }
@@ -415,36 +366,45 @@
         }
     }
 
+    // ---- graceful shutdown
+
+    @Override
+    public boolean closesConnections() {
+        return closesConnections;
+    }
+
     /**
-     * Takes a repeatable request off a replica that has gone quiet, when another replica and the
-     * budget allow.
+     * From now on responses carry "Connection: close", and idle connections are closed after a
+     * moment.
      */
-    private void move(Attempt attempt, long now) {
-        var request = attempt.request;
-        if (request.done()
-                || !request.route.repeatable()
-                || attempt.state() == Attempt.State.OPENING
-                || attempt.state() == Attempt.State.OVER
-                || request.sent + 1 >= request.route.tries) {
-            return;
-        }
-        if (now - attempt.sentUs < 150_000) {
-            return;
-        }
-        request.sent++;
-        request.tried.add(attempt.slot.row.id);
-        if (!dispatch(request, now)) {
-            request.sent--;
-            request.attempt = Optional.of(attempt);
-            return;
-        }
-        counters.moved++;
-        attempt.giveUp();
+    public void beginClosingConnections() {
+        closesConnections = true;
     }
 
-    /** A replica's life ended or its time runs out: what can go on elsewhere does. */
-    public void onReplica(ReplicaRecord replica) {
-        replicaTable.take(replica);
-        replicaTable.slot(replica.id).ifPresent(chooser::markResting);
+    /**
+     * From now on only requests are admitted that should end before this moment, and streams that
+     * may last longer are buffered; see {@link ShutdownAdmissionPolicy}.
+     */
+    public void admitOnlyUntil(long terminationUs) {
+        admission.setTermination(terminationUs);
+    }
+
+    /** Whether a client still waits for a response, or for bytes of one that are on their way. */
+    public boolean hasPendingWork() {
+        return completion.openRequests().stream().anyMatch(request -> !request.isJob())
+                || clients.stream().anyMatch(client -> client.unsentBytes() > 0);
+    }
+
+    /** Ends all interactive requests: those without a response get one, streams are aborted. */
+    public void terminateAll() {
+        completion.terminateAll();
+    }
+
+    public void closeIdleConnections() {
+        for (var client : List.copyOf(clients)) {
+            if (client.idle()) {
+                client.close();
+            }
+        }
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestQueues.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestQueues.java
@@ -9,20 +9,24 @@
 
 /**
  * The requests that wait for a replica, by service. They are offered again in the order of their
- * rank, then of their arrival; one that has waited for its share of the time is refused.
+ * rank, then of their arrival; one that has waited for its share of the time is rejected. Runs on
+ * the reactor thread.
  */
 final class RequestQueues {
-    private static final int MOST_IN_QUEUE = 1024;
-    private static final double REFUSED_WAIT_S = 0.4;
+    private static final int MAX_QUEUE_LENGTH = 1024;
+
+    /** After how long a client may come again when its request has waited in vain. */
+    private static final double RETRY_AFTER_S = 0.4;
 
     /** What the queues need of the owner of the requests. */
     interface Owner {
-        boolean dispatch(Request e, long now);
+        /** Starts an attempt; false when none can be started now. */
+        boolean dispatch(Request request, long nowUs);
 
-        void refuse(Request e, double waitS);
+        void reject(Request request, double retryAfterS);
 
-        /** How long a request that was not yet sent may wait. */
-        long holdUs(Request e);
+        /** How long a request may wait for its first attempt. */
+        long maxWaitUs(Request request);
     }
 
     private final Owner owner;
@@ -33,44 +37,51 @@
     }
 
     /** Adds a request, and answers whether there was room for it. */
-    boolean add(Request e) {
-        var queue = queues.computeIfAbsent(e.service, k -> new ArrayDeque<>());
-        return queue.size() < MOST_IN_QUEUE && queue.add(e);
+    boolean add(Request request) {
+        var queue = queues.computeIfAbsent(request.service(), unseen -> new ArrayDeque<>());
+        return queue.size() < MAX_QUEUE_LENGTH && queue.add(request);
     }
 
-    boolean anyWaits() {
-        return queues.values().stream().anyMatch(q -> !q.isEmpty());
+    boolean anyWaiting() {
+        for (var queue : queues.values()) {
+            if (!queue.isEmpty()) {
+                return true;
+            }
+        }
+        return false;
     }
 
     /** Offers every waiting request once more. */
-    void drain(long now) {
+    void drain(long nowUs) {
         for (var queue : queues.values()) {
             if (!queue.isEmpty()) {
-                drain(queue, now);
+                drain(queue, nowUs);
             }
         }
     }
 
-    private void drain(Deque<Request> queue, long now) {
+    private void drain(Deque<Request> queue, long nowUs) {
         var waiting = new ArrayList<>(queue);
         waiting.sort(
-                Comparator.comparingInt((Request e) -> e.route.rank)
-                        .thenComparingLong(e -> e.arrivedUs));
+                Comparator.comparingInt((Request request) -> request.route().rank)
+                        .thenComparingLong(Request::arrivedUs));
         queue.clear();
-        for (var e : waiting) {
-            if (e.done() || owner.dispatch(e, now)) {
+        for (var request : waiting) {
+            if (request.done() || owner.dispatch(request, nowUs)) {
                 continue;
             }
-            if (now - e.arrivedUs > limitUs(e)) {
-                owner.refuse(e, REFUSED_WAIT_S);
+            if (nowUs - request.arrivedUs() > limitUs(request)) {
+                owner.reject(request, RETRY_AFTER_S);
             } else {
-                queue.addLast(e);
+                queue.addLast(request);
             }
         }
     }
 
-    private long limitUs(Request e) {
-        var hold = owner.holdUs(e);
-        return e.sent > 0 ? Math.max(hold, (e.deadlineUs - e.arrivedUs) / 2) : hold;
+    private long limitUs(Request request) {
+        var maxWaitUs = owner.maxWaitUs(request);
+        return request.attemptsMade() > 0
+                ? Math.max(maxWaitUs, request.totalTimeUs() / 2)
+                : maxWaitUs;
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/SpreadCounter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RoundRobinCounter.java
@@ -4,9 +4,9 @@
 
 /**
  * A counter that begins at random, by which choices among equals are spread evenly rather than
- * drawn anew each time. Used on the thread of the reactor only.
+ * drawn anew each time. Runs on the reactor thread.
  */
-final class SpreadCounter {
+final class RoundRobinCounter {
     private static final int FIRST_BELOW = 1 << 20;
 
     private int value = new Random().nextInt(FIRST_BELOW);
--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -22,7 +22,8 @@
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.Request;
 import martenloom.edge.dispatch.RequestDispatcher;
-import martenloom.edge.http.Head;
+import martenloom.edge.dispatch.ResponseSink;
+import martenloom.edge.http.MessageHead;
 
 /**
  * Runs the deferred jobs of a region while this edge holds that duty. It picks by urgency, then by
@@ -60,7 +61,7 @@
             String prefix,
             String route) {}
 
-    private final class Run implements Request.Sink {
+    private final class Run implements ResponseSink {
         final Job job;
         final long fence;
         final ByteArrayOutputStream fresh = new ByteArrayOutputStream();
@@ -77,7 +78,7 @@
         }
 
         @Override
-        public void whole(byte[] h, byte[] body) {
+        public void respond(byte[] h, byte[] body) {
             var s = new String(h, StandardCharsets.ISO_8859_1);
             var status = Integer.parseInt(s.substring(9, 12));
             var sealed = s.toLowerCase(Locale.ROOT).contains("\r\nx-server-seal:");
@@ -92,12 +93,12 @@
         }
 
         @Override
-        public void open(byte[] h) {
+        public void beginStream(byte[] h) {
             head = new String(h, StandardCharsets.ISO_8859_1);
         }
 
         @Override
-        public void event(byte[] b) {
+        public void sendEvents(byte[] b) {
             fresh.writeBytes(b);
             if (fresh.size() > KEEP_BYTES) {
                 keep();
@@ -105,18 +106,18 @@
         }
 
         @Override
-        public void end() {
+        public void endStream() {
             done(200);
         }
 
         @Override
-        public void cut() {
+        public void abortStream() {
             keep();
             back(1, "the stream was cut");
         }
 
         @Override
-        public int waiting() {
+        public int unsentBytes() {
             return 0;
         }
 
@@ -127,7 +128,7 @@
             telling = true;
             var n = fresh.toByteArray();
             fresh.reset();
-            keep(request.get().lastEvent, n, 0);
+            keep(request.get().lastEventId(), n, 0);
         }
 
         /**
@@ -250,7 +251,7 @@
         RingLog.note("job " + r.job.id + " is let go: " + why);
         runs.remove(r.job.id);
         r.over = true;
-        r.request.ifPresent(dispatcher::dropJob);
+        r.request.ifPresent(dispatcher::cancelJob);
     }
 
     private void dropAll(String why) {
@@ -271,7 +272,7 @@
         for (var r : List.copyOf(runs.values())) {
             if (!seen.contains(r.job.id)
                     && !r.over
-                    && Clocks.nowUs() - r.request.map(e -> e.arrivedUs).orElse(0L) > 2_000_000) {
+                    && Clocks.nowUs() - r.request.map(Request::arrivedUs).orElse(0L) > 2_000_000) {
                 letGo(r, "it is no longer live");
             }
         }
@@ -318,7 +319,7 @@
             waits.put(l.id, "urgency " + u + ": " + MOST + " jobs run already");
             return;
         }
-        if (!dispatcher.jobRoom(l.route, u)) {
+        if (!dispatcher.hasJobCapacity(l.route, u)) {
             waits.put(l.id, "urgency " + u + ": no room to spare for it");
             return;
         }
@@ -354,11 +355,8 @@
         }
     }
 
-    private static Head head(Job j, long g, long leftUs) {
-        var h = new Head();
-        h.one = j.method;
-        h.two = j.path;
-        h.three = "HTTP/1.1";
+    private static MessageHead head(Job j, long g, long leftUs) {
+        var h = MessageHead.newRequest(j.method, j.path);
         h.set("Host", j.host);
         for (var f : j.fields) {
             var c = f.indexOf(':');
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
@@ -16,9 +16,7 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
-import martenloom.edge.dispatch.Attempt;
-import martenloom.edge.dispatch.ReplicaConnection;
-import martenloom.edge.dispatch.Request;
+import martenloom.edge.transport.ReplicaConnection;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -53,12 +51,12 @@
             };
 
     /** What this edge knows of one life of a replica. */
-    public static final class Slot {
+    public static final class Slot implements ReplicaConnection.Owner {
         public ReplicaRecord row;
         public String region = "";
         public final InetSocketAddress address;
         public final ArrayDeque<ReplicaConnection> idle = new ArrayDeque<>();
-        public final Set<Attempt> attempts = new LinkedHashSet<>();
+        public final Set<InFlightAttempt> attempts = new LinkedHashSet<>();
         public int open;
         public int mine;
         public int unread;
@@ -189,7 +187,7 @@
         public int opening() {
             var n = 0;
             for (var l : attempts) {
-                n += l.state() == Attempt.State.OPENING ? 1 : 0;
+                n += l.connecting() ? 1 : 0;
             }
             return n;
         }
@@ -202,30 +200,30 @@
         }
 
         /** Tokens of this request that the replica would have to read. */
-        public int unread(Request e, boolean assumeShared) {
-            if (e.sizes.isEmpty()) {
-                return e.promptTokens;
+        public int unread(Prompt prompt, boolean assumeShared) {
+            if (prompt.segmentCount() == 0) {
+                return prompt.tokens();
             }
             var n = 0;
             var all = true;
-            for (var i = 0; i < e.sizes.size(); i++) {
+            for (var i = 0; i < prompt.segmentCount(); i++) {
                 all =
                         all
-                                && (kept.containsKey(e.parts.get(i))
-                                        || assumeShared && i + 1 < e.sizes.size());
-                n += all ? 0 : e.sizes.get(i);
+                                && (kept.containsKey(prompt.segment(i))
+                                        || assumeShared && i + 1 < prompt.segmentCount());
+                n += all ? 0 : prompt.segmentTokens(i);
             }
             return Math.max(n, 1);
         }
 
-        public void keep(Request e, long most) {
-            for (var i = 0; i < e.sizes.size(); i++) {
-                var p = e.parts.get(i);
+        public void keep(Prompt prompt, long most) {
+            for (var i = 0; i < prompt.segmentCount(); i++) {
+                var p = prompt.segment(i);
                 if (kept.containsKey(p)) {
                     kept.getAndMoveToLast(p);
                 } else {
-                    kept.putAndMoveToLast(p, e.sizes.get(i));
-                    keptTokens += e.sizes.get(i);
+                    kept.putAndMoveToLast(p, prompt.segmentTokens(i));
+                    keptTokens += prompt.segmentTokens(i);
                 }
             }
             while (!kept.isEmpty() && (keptTokens > most * 0.7 || kept.size() > 4096)) {
@@ -240,6 +238,34 @@
         public boolean has(String part) {
             return kept.containsKey(part);
         }
+
+        @Override
+        public void onBytesReceived(long nowUs) {
+            heardUs = nowUs;
+            quietSinceUs = 0;
+            doubtful = false;
+        }
+
+        @Override
+        public boolean keepsIdleConnections() {
+            return !row.gone && !row.draining;
+        }
+
+        @Override
+        public void onIdle(ReplicaConnection connection) {
+            idle.addFirst(connection);
+        }
+
+        @Override
+        public void onReuseFailed(long idleUs) {
+            forgot(idleUs);
+        }
+
+        @Override
+        public void onClosed(ReplicaConnection connection) {
+            open--;
+            idle.remove(connection);
+        }
     }
 
     /** Sends a second that a home lent at one cold replica. */
@@ -319,9 +345,9 @@
         return usual.getOrDefault(r.name, 0.0);
     }
 
-    public void weigh(Request e) {
-        var u = usual.getOrDefault(e.route.name, (double) e.promptTokens);
-        usual.put(e.route.name, u + (e.promptTokens - u) * 0.05);
+    public void weigh(RouteTable.Route route, Prompt prompt) {
+        var u = usual.getOrDefault(route.name, (double) prompt.tokens());
+        usual.put(route.name, u + (prompt.tokens() - u) * 0.05);
     }
 
     /**
@@ -427,7 +453,12 @@
      * microseconds.
      */
     public double predict(
-            Slot s, RouteTable.Service svc, Request e, boolean assumeShared, long now) {
+            Slot s,
+            RouteTable.Service svc,
+            RouteTable.Route route,
+            Prompt prompt,
+            boolean assumeShared,
+            long now) {
         var in = s.mine + s.othersInHand(now);
         var cap = Math.max(1, s.row.capacity);
         if (!svc.engine) {
@@ -435,8 +466,8 @@
             return s.rttUs + s.workUs + wait + in * s.workUs * 0.05;
         }
         var wait = s.unread + s.othersUnread(now);
-        var ahead = e.route.rank == 0 ? Math.min(wait, PIECE) + wait * 0.15 : wait;
-        var read = Math.min(s.unread(e, assumeShared), Math.max(2 * usual(e.route), PIECE));
+        var ahead = route.rank == 0 ? Math.min(wait, PIECE) + wait * 0.15 : wait;
+        var read = Math.min(s.unread(prompt, assumeShared), Math.max(2 * usual(route), PIECE));
         var t = s.rttUs + 20_000 + (ahead + read) / s.rate * 1000 + in * 700.0;
         return in < cap ? t : t + (in - cap + 1) * 15_000.0;
     }
--- a/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
+++ b/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
@@ -17,6 +17,7 @@
 import martenloom.common.load.LoadSummary;
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.RequestDispatcher;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 
 /**
@@ -41,9 +42,6 @@
                 BiConsumer<Integer, String> reply);
     }
 
-    /** What the core says of a region and model. */
-    public record Placed(int desired, boolean pinned, Set<String> resting) {}
-
     private static final class Model {
         final ScaleMachine machine;
         boolean telling;
@@ -74,18 +72,18 @@
     private final ScaleSettings defaults;
     private final OrderSink sink;
     private final Map<String, Model> models = new TreeMap<>();
-    private Map<String, Placed> placed = Map.of();
+    private Map<String, ReplicaPlacement> placed = Map.of();
     private long grant;
 
     public ScaleRunner(RequestDispatcher f, String region, ScaleSettings defaults, OrderSink sink) {
         floor = f;
-        replicaTable = f.replicaTable;
+        replicaTable = f.replicaTable();
         this.region = region;
         this.defaults = defaults;
         this.sink = sink;
     }
 
-    public void onPlaced(Map<String, Placed> p) {
+    public void onPlaced(Map<String, ReplicaPlacement> p) {
         models.forEach(
                 (k, m) -> {
                     if (!Optional.ofNullable(p.get(k)).equals(Optional.ofNullable(placed.get(k)))) {
@@ -130,7 +128,7 @@
                     && !s.row.draining
                     && !s.row.gone
                     && !s.row.silent
-                    && !floor.evacuated().contains(s.row.zone)) {
+                    && !floor.evacuatedZones().contains(s.row.zone)) {
                 l.add(s);
             }
         }
@@ -141,7 +139,7 @@
         var key = region + "/" + model;
         var held = Optional.ofNullable(placed.get(key));
         var all = registered(model);
-        if (all.isEmpty() || held.isPresent() && held.get().pinned) {
+        if (all.isEmpty() || held.isPresent() && held.get().pinned()) {
             models.remove(key);
             return;
         }
@@ -153,7 +151,8 @@
                                 new Model(
                                         new ScaleMachine(
                                                 settings(model),
-                                                held.map(Placed::desired).orElse(all.size()),
+                                                held.map(ReplicaPlacement::desired)
+                                                        .orElse(all.size()),
                                                 now)));
         m.machine.adopt(settings(model));
         if (held.isEmpty() && !m.busy(now)) {
@@ -173,7 +172,11 @@
 
     /** Says who rests when that differs from what the core holds; one order at a time. */
     private void order(
-            String key, Model m, Optional<Placed> held, List<ReplicaTable.Slot> all, long now) {
+            String key,
+            Model m,
+            Optional<ReplicaPlacement> held,
+            List<ReplicaTable.Slot> all,
+            long now) {
         var d = m.machine.desired();
         if (m.busy(now) || held.isEmpty() && d >= all.size()) {
             return;
@@ -182,12 +185,12 @@
         var whole = d >= all.size();
         if (!whole
                 && held.isPresent()
-                && held.get().desired == d
-                && held.get().resting.equals(rest)) {
+                && held.get().desired() == d
+                && held.get().resting().equals(rest)) {
             return;
         }
         m.telling = true;
-        var inForce = held.map(Placed::desired).orElse(all.size());
+        var inForce = held.map(ReplicaPlacement::desired).orElse(all.size());
         sink.place(
                 key,
                 grant,
@@ -258,9 +261,9 @@
                                 String.format(
                                         "%s desired %d%s resting %d\n",
                                         k,
-                                        p.desired,
-                                        p.pinned ? " unloaded by the operator" : "",
-                                        p.resting.size()));
+                                        p.desired(),
+                                        p.pinned() ? " unloaded by the operator" : "",
+                                        p.resting().size()));
                     }
                 });
         models.forEach(
--- /dev/null
+++ b/edge/src/main/java/martenloom/edge/transport/SocketConnection.java
@@ -0,0 +1,207 @@
+package martenloom.edge.transport;
+
+import io.activej.bytebuf.ByteBuf;
+import io.activej.net.socket.tcp.ITcpSocket;
+import io.activej.net.socket.tcp.TcpSocket;
+import io.activej.reactor.Reactor;
+import java.io.IOException;
+import java.net.StandardSocketOptions;
+import martenloom.common.log.RingLog;
+import martenloom.common.socket.SocketReader;
+
+/**
+ * A TCP connection with a buffer of the bytes that came and are not yet consumed. It reads on by
+ * itself until the buffer is full or reading is paused, and tells its owner of bytes and of the
+ * end. It is open until it is closed by either side, once and for good. Runs on the reactor thread.
+ */
+public final class SocketConnection implements SocketReader.Owner {
+    /** Is told of bytes and of the end of a connection. */
+    public interface Owner {
+        /** There are bytes in the buffer that were not there before. */
+        void onBytes();
+
+        /** The connection is closed; called once. */
+        void onClosed();
+    }
+
+    private static final int INITIAL_BUFFER_BYTES = 512;
+
+    /** A buffer that grew past this is given up as soon as it is empty. */
+    private static final int RETAINED_BUFFER_BYTES = 65_536;
+
+    private final ITcpSocket socket;
+    private final Owner owner;
+    private final SocketReader reader;
+
+    /** No more is read while this many bytes wait to be consumed. */
+    private final int maxBufferedBytes;
+
+    private boolean open = true;
+    private boolean readingPaused;
+    private boolean endedByPeer;
+    private int unsentBytes;
+    private boolean closeWhenSent;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int position;
+    private int limit;
+
+    public SocketConnection(ITcpSocket socket, int maxBufferedBytes, Owner owner) {
+        this.socket = socket;
+        this.owner = owner;
+        this.maxBufferedBytes = maxBufferedBytes;
+        reader = new SocketReader(socket, this);
+    }
+
+    /** Begins to read. */
+    public void start() {
+        reader.go();
+    }
+
+    public boolean isOpen() {
+        return open;
+    }
+
+    /**
+     * Whether the other side closed the connection in order, and neither this side nor a reset did.
+     */
+    public boolean endedByPeer() {
+        return endedByPeer;
+    }
+
+    // ---- reading
+
+    /** The buffer; valid bytes are from {@link #position} to {@link #limit}. */
+    public byte[] buffer() {
+        return buffer;
+    }
+
+    /** Where the first byte that is not consumed stands in the buffer. */
+    public int position() {
+        return position;
+    }
+
+    /** The end of the valid bytes in the buffer. */
+    public int limit() {
+        return limit;
+    }
+
+    /** Bytes that came and are not consumed. */
+    public int available() {
+        return limit - position;
+    }
+
+    /** Consumes bytes of the buffer, and reads on if it was full. */
+    public void consume(int length) {
+        if (available() >= maxBufferedBytes && available() - length < maxBufferedBytes) {
+            Reactor.getCurrentReactor().post(reader::go);
+        }
+        position += length;
+        if (position == limit) {
+            position = 0;
+            limit = 0;
+            if (buffer.length > RETAINED_BUFFER_BYTES) {
+                buffer = new byte[INITIAL_BUFFER_BYTES];
+            }
+        }
+    }
+
+    /** Stops or resumes reading, so that the other side is slowed down by TCP's flow control. */
+    public void pauseReading(boolean paused) {
+        readingPaused = paused;
+        reader.go();
+    }
+
+    @Override
+    public boolean wants() {
+        return open && !readingPaused && available() < maxBufferedBytes;
+    }
+
+    @Override
+    public void take(ByteBuf bytes) {
+        var length = bytes.readRemaining();
+        if (limit + length > buffer.length) {
+            makeRoom(length);
+        }
+        bytes.drainTo(buffer, limit, length);
+        limit += length;
+        owner.onBytes();
+    }
+
+    private void makeRoom(int length) {
+        var needed = available() + length;
+        var target =
+                needed > buffer.length ? new byte[Math.max(buffer.length * 2, needed)] : buffer;
+        System.arraycopy(buffer, position, target, 0, available());
+        limit -= position;
+        position = 0;
+        buffer = target;
+    }
+
+    @Override
+    public void ended() {
+        endedByPeer = open;
+        close();
+    }
+
+    @Override
+    public void broke() {
+        close();
+    }
+
+    // ---- writing
+
+    /** Bytes that were written and have not gone out. */
+    public int unsentBytes() {
+        return unsentBytes;
+    }
+
+    /** Writes bytes, which must not be changed any more; does nothing once closed. */
+    public void write(byte[] bytes) {
+        if (!open || bytes.length == 0) {
+            return;
+        }
+        unsentBytes += bytes.length;
+        socket.write(ByteBuf.wrapForReading(bytes))
+                .subscribe(
+                        (done, failure) -> {
+                            unsentBytes -= bytes.length;
+                            if (failure != null || unsentBytes == 0 && closeWhenSent) {
+                                close();
+                            }
+                        });
+    }
+
+    // ---- closing
+
+    /** Closes once what was written has gone out. */
+    public void closeWhenSent() {
+        if (unsentBytes == 0) {
+            close();
+        } else {
+            closeWhenSent = true;
+        }
+    }
+
+    /** Closes at once; the owner is told. */
+    public void close() {
+        if (open) {
+            open = false;
+            socket.close();
+            owner.onClosed();
+        }
+    }
+
+    /**
+     * Closes at once, and drops what was written and has not arrived: the other side sees a reset.
+     */
+    public void reset() {
+        if (open && socket instanceof TcpSocket tcpSocket) {
+            try {
+                tcpSocket.getSocketChannel().setOption(StandardSocketOptions.SO_LINGER, 0);
+            } catch (IOException | UnsupportedOperationException e) {
+                RingLog.note("a connection is closed without a reset: " + e.getMessage());
+            }
+        }
+        close();
+    }
+}
--- a/edge/src/test/java/martenloom/edge/http/HeadTest.java
+++ b/edge/src/test/java/martenloom/edge/http/MessageHeadTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Heads are read strictly, edited in place, and what could be read two ways is refused. */
-final class HeadTest {
-    private static Head req(String s) {
+final class MessageHeadTest {
+    private static MessageHead req(String s) {
         var b = s.getBytes(StandardCharsets.ISO_8859_1);
-        return Head.request(b, 0, b.length);
+        return MessageHead.readRequest(b, 0, b.length);
     }
 
     @ParameterizedTest
@@ -32,8 +32,8 @@
             })
     void smugglingFormsAreRefused(String f) {
         assertThrows(
-                Head.BadHead.class,
-                () -> req("POST /a/b HTTP/1.1\r\nHost: h\r\n" + f + "\r\n").length(400));
+                MalformedMessageException.class,
+                () -> req("POST /a/b HTTP/1.1\r\nHost: h\r\n" + f + "\r\n").bodyLength(400));
     }
 
     @ParameterizedTest
@@ -46,7 +46,7 @@
                 "G@T / HTTP/1.1"
             })
     void badStartLinesAreRefused(String l) {
-        assertThrows(Head.BadHead.class, () -> req(l + "\r\nHost: h\r\n\r\n"));
+        assertThrows(MalformedMessageException.class, () -> req(l + "\r\nHost: h\r\n\r\n"));
     }
 
     @Test
@@ -59,23 +59,23 @@
                                 + "Foo: 1\r\n"
                                 + "X-Attempt-Id: 7\r\n"
                                 + "Keep-Alive: timeout=3\r\n\r\n");
-        h.dropHop();
+        h.removeHopByHopFields();
         h.set("X-Time-Remaining", "90");
         assertEquals(
                 "POST /a?q=1 HTTP/1.1\r\n"
                         + "Host: h\r\n"
                         + "X-Attempt-Id: 7\r\n"
                         + "X-Time-Remaining: 90\r\n\r\n",
-                new String(h.bytes(), StandardCharsets.ISO_8859_1));
+                new String(h.encode(), StandardCharsets.ISO_8859_1));
     }
 
     private static String chunks(String s, int step) {
-        var c = new Chunks(400);
+        var c = new ChunkedBodyReader(400);
         var out = new ByteArrayOutputStream();
         var b = s.getBytes(StandardCharsets.ISO_8859_1);
         var i = 0;
         while (i < b.length && !c.done()) {
-            i = c.take(b, i, Math.min(b.length, i + step), out::write);
+            i = c.read(b, i, Math.min(b.length, i + step), out::write);
         }
         return out + (c.done() ? " done at " + i : " open");
     }
@@ -96,6 +96,6 @@
     @ParameterizedTest
     @ValueSource(strings = {"x\r\n", "\r\n", "5\nhello", "5\r\nhelloX", "fffffffff\r\n", "-1\r\n"})
     void badChunksAreRefused(String s) {
-        assertThrows(Head.BadHead.class, () -> chunks(s, 100));
+        assertThrows(MalformedMessageException.class, () -> chunks(s, 100));
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -629,7 +629,7 @@
         s.readyEdges = (int) edges.stream().filter(e -> e.whenReady().getNow(false)).count();
         s.replicasKnown =
                 edges.stream()
-                        .mapToLong(e -> e.dispatcher().replicaTable.all().size())
+                        .mapToLong(e -> e.dispatcher().replicaTable().all().size())
                         .min()
                         .orElse(0);
         s.edgesHeard = edges.stream().mapToInt(EdgeDaemon::edgesHeard).min().orElse(0);
