--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -36,6 +36,7 @@
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.WarmupPermits;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.language.RoutingLanguage;
 
@@ -110,7 +111,9 @@
         core = new CoreClient(loop, home);
         reporting = new OverloadReporting(settings, dispatcher, this::tell);
         load = new LoadView(replicaTable, dispatcher, settings.ip, life);
-        scaler = new ScaleRunner(dispatcher, settings.region, scaling, this::orderReplicas);
+        scaler =
+                new ScaleRunner(
+                        dispatcher, replicaTable, settings.region, scaling, this::orderReplicas);
         jobs =
                 new JobRunner(
                         dispatcher,
@@ -215,7 +218,7 @@
         return out.i64(now)
                 .text(duties.holder())
                 .texts(wantedDuties())
-                .texts(replicaTable.coldIn(settings.region, dispatcher.table(), now))
+                .texts(replicaTable.warmingUp(settings.region, dispatcher.table(), now))
                 .bytes();
     }
 
@@ -282,10 +285,12 @@
         home.onCores(in.texts(), staleUs);
         dispatcher.onEdgeCount(mostEdges);
         jobsLive = in.flag();
-        replicaTable.lent(
-                home.ip(),
-                sentUs + in.i64(),
-                in.list(lease -> new ReplicaTable.Leased(lease.text(), lease.i32())));
+        replicaTable
+                .warmupPermits()
+                .onLease(
+                        home.ip(),
+                        sentUs + in.i64(),
+                        in.list(lease -> new WarmupPermits.Permit(lease.text(), lease.i32())));
         mismatches = digest == replicaTable.digest() && newsEdition <= edition ? 0 : mismatches + 1;
         if (mismatches > 2) {
             mismatches = 0;
@@ -305,7 +310,7 @@
         var table = dispatcher.table();
         var known =
                 table.services.keySet().stream()
-                        .allMatch(service -> !replicaTable.of(service).isEmpty());
+                        .allMatch(service -> !replicaTable.ofService(service).isEmpty());
         if (known && home.synced() && upUs > settings.beatMs * 1500L
                 || now - firstNewsUs > 3_000_000) {
             ready = true;
@@ -368,10 +373,10 @@
             var known = new HashSet<String>();
             replicas.forEach(replica -> known.add(replica.id));
             for (var slot : List.copyOf(replicaTable.all())) {
-                if (!known.contains(slot.row.id)
-                        && now - slot.heardUs > 10_000_000
-                        && slot.attempts.isEmpty()) {
-                    replicaTable.drop(slot);
+                if (!known.contains(slot.id())
+                        && now - slot.reachability().heardUs() > 10_000_000
+                        && slot.attemptCount() == 0) {
+                    replicaTable.remove(slot);
                 }
             }
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -13,7 +13,7 @@
 import martenloom.edge.http.HttpStatus;
 import martenloom.edge.http.MessageHead;
 import martenloom.edge.replica.InFlightAttempt;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.transport.ReplicaConnection;
 import martenloom.edge.transport.ResponseListener;
 
@@ -77,13 +77,12 @@
      */
     private static final long MAX_IDLE_IF_NOT_IDEMPOTENT_US = 2_000_000;
 
-    private static final double ROUND_TRIP_SMOOTHING = 0.3;
     private static final long LEAST_LEFT_MS = 1;
     private static final int MAX_BODY_BYTES = 16 << 20;
     private static final int USUAL_BODY_BYTES = 256;
 
     private final Request request;
-    private final ReplicaTable.Slot replica;
+    private final ReplicaEndpoint replica;
     private final Listener listener;
 
     /** Tokens of the prompt that this attempt adds to what the replica has to prefill. */
@@ -118,7 +117,7 @@
 
     Attempt(
             Request request,
-            ReplicaTable.Slot replica,
+            ReplicaEndpoint replica,
             Listener listener,
             int pendingPrefillTokens,
             int tokensAhead,
@@ -137,7 +136,7 @@
         return request;
     }
 
-    ReplicaTable.Slot replica() {
+    ReplicaEndpoint replica() {
         return replica;
     }
 
@@ -175,7 +174,7 @@
     /** The first event has come: the prompt's tokens wait for prefill no longer. */
     void endPrefill() {
         firstEventUs = Clocks.nowUs();
-        replica.unread -= pendingPrefillTokens;
+        replica.load().onPrefillEnd(pendingPrefillTokens);
     }
 
     @Override
@@ -193,67 +192,50 @@
             send(connection.get());
             return;
         }
-        replica.open++;
-        TcpSocket.connect(loop, replica.address, connectTimeoutMs, SOCKET_SETTINGS)
+        replica.connections().onOpening();
+        TcpSocket.connect(loop, replica.address(), connectTimeoutMs, SOCKET_SETTINGS)
                 .subscribe(this::onConnected);
     }
 
     private void onConnected(ITcpSocket socket, Exception failure) {
         if (failure != null) {
-            replica.open--;
+            replica.connections().onClosed();
             fail(Failure.UNSENT);
         } else if (state != State.CONNECTING) {
-            replica.open--;
+            replica.connections().onClosed();
             socket.close();
         } else {
-            var roundTripUs = Clocks.nowUs() - startedUs;
-            replica.rttUs += (roundTripUs - replica.rttUs) * ROUND_TRIP_SMOOTHING;
+            replica.latency().onConnected(Clocks.nowUs() - startedUs);
             var opened = new ReplicaConnection(socket, replica);
             connection = Optional.of(opened);
             send(opened);
         }
     }
 
-    /**
-     * An idle connection that this request may be sent on; those that have become useless are
-     * closed on the way.
-     */
+    /** An idle connection that this request may be sent on. */
     private Optional<ReplicaConnection> takeIdleConnection() {
+        var idleTrustUs = replica.connections().idleTrustUs();
         var maxIdleUs =
                 request.route().repeatable()
-                        ? replica.idleTrustUs()
-                        : Math.min(MAX_IDLE_IF_NOT_IDEMPOTENT_US, replica.idleTrustUs());
-        for (var idle = replica.idle.iterator(); idle.hasNext(); ) {
-            var candidate = idle.next();
-            if (candidate.lastCarried(request.id())) {
-                continue;
-            }
-            idle.remove();
-            if (candidate.usable(startedUs) && candidate.idleUs(startedUs) < maxIdleUs) {
-                return Optional.of(candidate);
-            }
-            candidate.close();
-        }
-        return Optional.empty();
+                        ? idleTrustUs
+                        : Math.min(MAX_IDLE_IF_NOT_IDEMPOTENT_US, idleTrustUs);
+        return replica.connections().takeIdle(request.id(), maxIdleUs, startedUs);
     }
 
     private void send(ReplicaConnection usable) {
         var now = Clocks.nowUs();
         var leftMs = (Math.min(request.clientDeadlineUs(), request.deadlineUs()) - now) / 1000;
         if (leftMs < LEAST_LEFT_MS) {
-            replica.idle.addFirst(usable);
+            replica.connections().addIdle(usable);
             connection = Optional.empty();
             fail(Failure.UNSENT);
             return;
         }
         resumeAfterId = EventStreamReader.parseId(request.lastEventId());
-        var forwardedHead = ForwardedHead.of(request, replica.row.id, leftMs);
+        var forwardedHead = ForwardedHead.of(request, replica.id(), leftMs);
         state = State.SENT;
         sentUs = now;
-        replica.sentAt(now);
-        if (replica.quietSinceUs == 0) {
-            replica.quietSinceUs = now;
-        }
+        replica.onSent(now);
         usable.send(
                 request.id(),
                 request.head().method(),
@@ -369,9 +351,7 @@
 
     /** Counts this attempt in the load of its replica. */
     void addToLoad() {
-        replica.mine++;
-        replica.unread += pendingPrefillTokens;
-        replica.attempts.add(this);
+        replica.addAttempt(this, pendingPrefillTokens);
     }
 
     /** Takes this attempt off the load of its replica; does nothing the second time. */
@@ -380,14 +360,10 @@
             return;
         }
         countedInLoad = false;
-        replica.mine--;
-        replica.attempts.remove(this);
         if (!prefilled()) {
-            replica.unread -= pendingPrefillTokens;
-        }
-        if (replica.attempts.isEmpty()) {
-            replica.quietSinceUs = 0;
+            replica.load().onPrefillEnd(pendingPrefillTokens);
         }
+        replica.removeAttempt(this);
     }
 
     /** Ends the attempt from our side: off the load, and without a word to the listener. */
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
@@ -158,7 +158,7 @@
                 "attempt of "
                         + request.id()
                         + " at "
-                        + attempt.replica().row.id
+                        + attempt.replica().id()
                         + " failed: "
                         + failure);
         var expired = now >= request.deadlineUs() - LEAST_LEFT_US;
@@ -179,7 +179,7 @@
 
     private void carryOut(RetryPolicy.Decision decision, Attempt attempt, long nowUs) {
         var request = attempt.request();
-        var replicaId = attempt.replica().row.id;
+        var replicaId = attempt.replica().id();
         if (decision == RetryPolicy.Decision.RETRY_UNSENT) {
             request.triedReplicas().remove(replicaId);
             retryOrWait(request, nowUs);
@@ -206,7 +206,7 @@
 
     private void retryOrWait(Request request, long nowUs) {
         if (!owner.dispatch(request, nowUs)) {
-            var replicas = replicaTable.of(request.service()).size();
+            var replicas = replicaTable.ofService(request.service()).size();
             if (request.triedReplicas().size() >= replicas) {
                 request.triedReplicas().clear();
             }
@@ -224,7 +224,7 @@
         }
         var request = attempt.request();
         request.countAttempt();
-        request.triedReplicas().add(attempt.replica().row.id);
+        request.triedReplicas().add(attempt.replica().id());
         if (!owner.dispatch(request, nowUs)) {
             request.uncountAttempt();
             request.setAttempt(attempt);
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptStarter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptStarter.java
@@ -3,7 +3,7 @@
 import io.activej.eventloop.Eventloop;
 import martenloom.common.settings.Settings;
 import martenloom.edge.budget.RetryBudget;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.ReplicaEndpoint;
 
 /**
  * Starts attempts: lets the selector pick a replica, spends the retry budget for all but the first
@@ -68,19 +68,21 @@
         rememberPrefix(request, replica);
         attempt.start(
                 loop,
-                replica.region.equals(ownRegion) ? CONNECT_TIMEOUT_MS : REMOTE_CONNECT_TIMEOUT_MS);
+                replica.region().equals(ownRegion)
+                        ? CONNECT_TIMEOUT_MS
+                        : REMOTE_CONNECT_TIMEOUT_MS);
         return true;
     }
 
     private Attempt newAttempt(
-            Request request, ReplicaTable.Slot replica, Attempt.Listener listener, long nowUs) {
+            Request request, ReplicaEndpoint replica, Attempt.Listener listener, long nowUs) {
         var cached = prefixCache.isCached(replica, request);
         return new Attempt(
                 request,
                 replica,
                 listener,
-                replica.unread(request.prompt(), cached),
-                replica.unread + replica.othersUnread(nowUs),
+                replica.prefixCache().missingTokens(request.prompt(), cached),
+                replica.load().pendingPrefillTokens(nowUs),
                 certainPrefillTokens(request, replica, cached));
     }
 
@@ -89,25 +91,27 @@
      * there, else the own segment.
      */
     private static int certainPrefillTokens(
-            Request request, ReplicaTable.Slot replica, boolean cached) {
+            Request request, ReplicaEndpoint replica, boolean cached) {
         var prompt = request.prompt();
         if (prompt.segmentCount() == 0) {
             return prompt.tokens();
         }
-        if (!cached && prompt.hasLargeShared() && !replica.has(prompt.lastShared())) {
+        if (!cached
+                && prompt.hasLargeShared()
+                && !replica.prefixCache().contains(prompt.lastShared())) {
             return prompt.tokens();
         }
-        return replica.has(prompt.own()) ? 0 : prompt.ownTokens();
+        return replica.prefixCache().contains(prompt.own()) ? 0 : prompt.ownTokens();
     }
 
     /** Engines keep the segments of a prompt for those that come after it. */
-    private void rememberPrefix(Request request, ReplicaTable.Slot replica) {
+    private void rememberPrefix(Request request, ReplicaEndpoint replica) {
         var service = cluster.table().services.get(request.service());
         if (service == null || !service.engine) {
             return;
         }
         var prompt = request.prompt();
-        replica.keep(prompt, service.cacheTokens);
+        replica.prefixCache().add(prompt, service.cacheTokens);
         if (prompt.hasLargeShared()) {
             prefixCache.onSent(prompt, replica);
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
@@ -1,13 +1,13 @@
 package martenloom.edge.dispatch;
 
 import martenloom.common.settings.Settings;
-import martenloom.edge.replica.ReplicaHealth;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.routing.route.RouteTable;
 
 /**
  * Decides which replicas a request may go to at all: those that are registered and stay, in no
- * evacuated zone, not resting, responsive, healthy, and with a connection, a warm-up permit and
+ * evacuated zone, not unloaded, responsive, healthy, and with a connection, a warm-up permit and
  * capacity to spare. Changes nothing. Runs on the reactor thread.
  */
 final class CandidateFilter {
@@ -55,17 +55,12 @@
         this.cluster = cluster;
     }
 
-    /** Attempts in flight at a replica, of all edges. */
-    static int inFlight(ReplicaTable.Slot replica, long nowUs) {
-        return replica.mine + replica.othersInHand(nowUs);
-    }
-
     /** Whether a request may be sent to a replica now. */
     boolean isUsable(
-            ReplicaTable.Slot replica, RouteTable.Service service, Request request, long nowUs) {
+            ReplicaEndpoint replica, RouteTable.Service service, Request request, long nowUs) {
         return stays(replica)
-                && !request.triedReplicas().contains(replica.row.id)
-                && !replica.resting
+                && !request.triedReplicas().contains(replica.id())
+                && !replica.isUnloaded()
                 && (!request.isJob()
                         || hasJobCapacity(replica, request.route(), request.jobUrgency(), nowUs))
                 && isResponsive(replica, nowUs)
@@ -74,29 +69,28 @@
                 && hasCapacity(replica, service, nowUs);
     }
 
-    private boolean stays(ReplicaTable.Slot replica) {
-        var row = replica.row;
-        return !row.gone
-                && !row.draining
-                && !row.silent
-                && row.leavesAtUs == Long.MAX_VALUE
-                && !cluster.isEvacuated(row.zone);
+    private boolean stays(ReplicaEndpoint replica) {
+        return !replica.isDeregistered()
+                && replica.isAvailable()
+                && replica.registration().leavesAtUs == Long.MAX_VALUE
+                && !cluster.isEvacuated(replica.zone());
     }
 
-    private static boolean isResponsive(ReplicaTable.Slot replica, long nowUs) {
-        return nowUs >= replica.suspectUntilUs
-                && nowUs >= replica.fullUntilUs
-                && !replica.othersDoubt(nowUs)
-                && replica.health.state(nowUs) != ReplicaHealth.State.ASIDE
-                && !(replica.doubtful && replica.mine > 0);
+    private static boolean isResponsive(ReplicaEndpoint replica, long nowUs) {
+        var reachability = replica.reachability();
+        return !reachability.isSuspected(nowUs)
+                && !reachability.isSaturated(nowUs)
+                && !reachability.peersSuspect(nowUs)
+                && !replica.health().isEjected(nowUs)
+                && !(reachability.isProbing() && replica.load().ownInFlight() > 0);
     }
 
     /** A replica that is warming up gets only so many requests in a second. */
     private boolean hasWarmupPermit(
-            ReplicaTable.Slot replica, RouteTable.Service service, long nowUs) {
-        return replica.warm(nowUs)
+            ReplicaEndpoint replica, RouteTable.Service service, long nowUs) {
+        return replica.isWarm(nowUs)
                 || service.warmPerS <= 0
-                || replica.coldSends(nowUs) + replica.opening()
+                || replica.warmup().recentSends(nowUs) + replica.connectingAttempts()
                         < warmupPermits(replica, service, nowUs);
     }
 
@@ -104,22 +98,23 @@
      * An even share by the most edges ever, as long as that is one or more; past that, what the
      * homes lent.
      */
-    private int warmupPermits(ReplicaTable.Slot replica, RouteTable.Service service, long nowUs) {
+    private int warmupPermits(ReplicaEndpoint replica, RouteTable.Service service, long nowUs) {
         var permits = service.coldPerS(settings.bounds.warmOverage, settings.bounds.warmSlack);
         return cluster.edgeCount() <= permits
                 ? permits / cluster.edgeCount()
-                : replicaTable.coldShare(replica.row.id, nowUs);
+                : replicaTable.warmupPermits().sendsPerSecond(replica.id(), nowUs);
     }
 
-    private boolean hasConnection(ReplicaTable.Slot replica, RouteTable.Service service) {
+    private boolean hasConnection(ReplicaEndpoint replica, RouteTable.Service service) {
         var share = (int) (service.maxConnections * SHARED_CONNECTIONS / cluster.edgeCount());
-        return !replica.idle.isEmpty() || replica.open < Math.max(1, share);
+        return !replica.connections().hasNoIdle()
+                || replica.connections().openConnections() < Math.max(1, share);
     }
 
     private static boolean hasCapacity(
-            ReplicaTable.Slot replica, RouteTable.Service service, long nowUs) {
+            ReplicaEndpoint replica, RouteTable.Service service, long nowUs) {
         var overcommit = service.engine ? ENGINE_OVERCOMMIT : PLAIN_OVERCOMMIT;
-        return inFlight(replica, nowUs) < replica.row.capacity * overcommit;
+        return replica.load().inFlight(nowUs) < replica.capacity() * overcommit;
     }
 
     /**
@@ -128,15 +123,15 @@
      * are not kept out before the others.
      */
     boolean isTooFullForKind(
-            ReplicaTable.Slot replica, RouteTable.Service service, Request request, long nowUs) {
-        var capacity = replica.row.capacity;
+            ReplicaEndpoint replica, RouteTable.Service service, Request request, long nowUs) {
+        var capacity = replica.capacity();
         var wellFilled =
                 Math.max(
                         capacity * WELL_FILLED,
                         Math.min(capacity - POSITIONS_KEPT_FREE, WELL_FILLED_ATTEMPTS));
         return service.engine
-                && replicaTable.usual(request.route()) >= LARGE_KIND_TOKENS
-                && inFlight(replica, nowUs) > wellFilled;
+                && replicaTable.predictor().usualPromptTokens(request.route()) >= LARGE_KIND_TOKENS
+                && replica.load().inFlight(nowUs) > wellFilled;
     }
 
     // ---- deferred jobs
@@ -153,7 +148,7 @@
 
     private boolean hasJobCapacity(RouteTable.Route route, int urgency, long nowUs) {
         for (var share : route.shares) {
-            for (var replica : replicaTable.of(share.service)) {
+            for (var replica : replicaTable.ofService(share.service)) {
                 if (hasJobCapacity(replica, route, urgency, nowUs)) {
                     return true;
                 }
@@ -164,45 +159,45 @@
 
     /** Whether a replica has capacity for a job past what interactive requests need. */
     private boolean hasJobCapacity(
-            ReplicaTable.Slot replica, RouteTable.Route route, int urgency, long nowUs) {
-        var row = replica.row;
-        return route.allows(replica.region)
-                && !row.draining
-                && !row.silent
-                && !row.gone
-                && nowUs >= replica.suspectUntilUs
-                && !cluster.isEvacuated(row.zone)
-                && (replica.warm(nowUs) || urgency >= COLD_START_URGENCY)
-                && inFlight(replica, nowUs) < Math.max(1, row.capacity * JOB_CAPACITY[urgency])
+            ReplicaEndpoint replica, RouteTable.Route route, int urgency, long nowUs) {
+        return route.allows(replica.region())
+                && replica.isAvailable()
+                && !replica.isDeregistered()
+                && !replica.reachability().isSuspected(nowUs)
+                && !cluster.isEvacuated(replica.zone())
+                && (replica.isWarm(nowUs) || urgency >= COLD_START_URGENCY)
+                && replica.load().inFlight(nowUs)
+                        < Math.max(1, replica.capacity() * JOB_CAPACITY[urgency])
                 && prefillAheadUs(replica, nowUs) < route.aimUs * JOB_LATENCY[urgency];
     }
 
-    private static double prefillAheadUs(ReplicaTable.Slot replica, long nowUs) {
-        return (replica.unread + replica.othersUnread(nowUs)) / replica.rate * US_PER_MS;
+    private static double prefillAheadUs(ReplicaEndpoint replica, long nowUs) {
+        return replica.load().pendingPrefillTokens(nowUs)
+                / replica.latency().prefillTokensPerMs()
+                * US_PER_MS;
     }
 
     // ---- waiting
 
     /**
-     * Whether everything that could serve this request rests, so that it may wait for a replica to
-     * be woken.
+     * Whether everything that could serve this request is unloaded, so that it may wait for a
+     * replica to be loaded again.
      */
-    boolean allResting(Request request) {
+    boolean allUnloaded(Request request) {
         if (!cluster.hasPlacements()) {
             return false;
         }
-        var anyResting = false;
-        for (var replica : replicaTable.of(request.service())) {
-            if (request.route().allows(replica.region)
-                    && !replica.row.draining
-                    && !replica.row.silent
-                    && !cluster.isEvacuated(replica.row.zone)) {
-                if (!replica.resting) {
+        var anyUnloaded = false;
+        for (var replica : replicaTable.ofService(request.service())) {
+            if (request.route().allows(replica.region())
+                    && replica.isAvailable()
+                    && !cluster.isEvacuated(replica.zone())) {
+                if (!replica.isUnloaded()) {
                     return false;
                 }
-                anyResting = true;
+                anyUnloaded = true;
             }
         }
-        return anyResting;
+        return anyUnloaded;
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
@@ -3,14 +3,15 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.routing.route.RouteTable;
 
 /**
  * What the core has told this edge of the cluster: the route table in force, the evacuated zones,
- * the placement of replicas and the number of edges. Marks in the replica table which replicas rest
- * and which start cold after an evacuation. Runs on the reactor thread.
+ * the placement of replicas and the number of edges. Marks in the replica table which replicas are
+ * unloaded and which start cold after an evacuation. Runs on the reactor thread.
  */
 final class ClusterView {
     /** What a replica's warm-up takes longer after an evacuation than its service says. */
@@ -66,40 +67,41 @@
 
     void setTable(RouteTable newTable) {
         table = newTable;
-        replicaTable.all().forEach(this::markResting);
+        replicaTable.all().forEach(this::markUnloaded);
     }
 
     void setPlacements(Map<String, ReplicaPlacement> newPlacements) {
         placements = newPlacements;
-        replicaTable.all().forEach(this::markResting);
+        replicaTable.all().forEach(this::markUnloaded);
     }
 
-    /** Marks whether a replica rests, by the placement of its model in its region. */
-    void markResting(ReplicaTable.Slot replica) {
+    /** Marks whether a replica is unloaded, by the placement of its model in its region. */
+    void markUnloaded(ReplicaEndpoint replica) {
         var placement = placement(replica);
-        replica.resting =
+        replica.setUnloaded(
                 placement.isPresent()
                         && (placement.get().pinned()
-                                || placement.get().resting().contains(replica.row.id));
+                                || placement.get().resting().contains(replica.id())));
     }
 
-    private Optional<ReplicaPlacement> placement(ReplicaTable.Slot replica) {
-        var service = table.services.get(replica.row.service);
+    private Optional<ReplicaPlacement> placement(ReplicaEndpoint replica) {
+        var service = table.services.get(replica.service());
         return service == null || !service.engine
                 ? Optional.empty()
                 : Optional.ofNullable(
-                        placements.get(regionAndModel(replica.region, service.model)));
+                        placements.get(regionAndModel(replica.region(), service.model)));
     }
 
     /** Replicas of a zone that is no longer evacuated start cold. */
     void setEvacuatedZones(Set<String> zones, long nowUs) {
         for (var replica : replicaTable.all()) {
-            var zone = replica.row.zone;
+            var zone = replica.zone();
             if (evacuatedZones.contains(zone) && !zones.contains(zone)) {
-                var service = table.services.get(replica.row.service);
+                var service = table.services.get(replica.service());
                 var warmupUs = service == null ? 0 : service.warmUs;
-                replica.coldFloorUs =
-                        warmupUs == 0 ? 0 : nowUs + warmupUs + EVACUATION_WARMUP_MARGIN_US;
+                replica.warmup()
+                        .restart(
+                                warmupUs == 0 ? 0 : nowUs + warmupUs + EVACUATION_WARMUP_MARGIN_US);
             }
         }
         evacuatedZones = Set.copyOf(zones);
--- a/edge/src/main/java/martenloom/edge/dispatch/CostPredictor.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/CostPredictor.java
@@ -1,5 +1,6 @@
 package martenloom.edge.dispatch;
 
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.routing.route.RouteTable;
 
@@ -20,13 +21,20 @@
 
     /** The predicted time from now, without preferences. */
     double timeUs(
-            ReplicaTable.Slot replica,
+            ReplicaEndpoint replica,
             RouteTable.Service service,
             Request request,
             boolean assumeSharedCached,
             long nowUs) {
-        return replicaTable.predict(
-                replica, service, request.route(), request.prompt(), assumeSharedCached, nowUs);
+        return replicaTable
+                .predictor()
+                .predictUs(
+                        replica,
+                        service,
+                        request.route(),
+                        request.prompt(),
+                        assumeSharedCached,
+                        nowUs);
     }
 
     /**
@@ -34,14 +42,14 @@
      * prefix that it owns.
      */
     double costUs(
-            ReplicaTable.Slot replica,
+            ReplicaEndpoint replica,
             RouteTable.Service service,
             Request request,
             boolean ownsPrefix,
             long nowUs) {
         return timeUs(replica, service, request, false, nowUs)
-                + replica.farUs
-                + replica.health.costUs(nowUs)
+                + replica.tieBreakCostUs()
+                + replica.health().recoveryCostUs(nowUs)
                 - (ownsPrefix ? PREFIX_AFFINITY_US : 0);
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/PrefixCacheOwnership.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/PrefixCacheOwnership.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.Prompt;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 
 /**
@@ -32,49 +33,49 @@
      * Whether this replica is where some edge last sent the request's large shared segments, so
      * that it need not prefill them.
      */
-    boolean isCached(ReplicaTable.Slot replica, Request request) {
+    boolean isCached(ReplicaEndpoint replica, Request request) {
         var prompt = request.prompt();
         return prompt.hasShared()
                 && prompt.hasLargeShared()
                 && prefixOwners
-                        .prefixOwner(prompt.lastShared())
-                        .filter(replica.row.id::equals)
+                        .ownerOf(prompt.lastShared())
+                        .filter(replica.id()::equals)
                         .isPresent();
     }
 
     /** The large shared segments of a prompt were sent to a replica, to which they now belong. */
-    void onSent(Prompt prompt, ReplicaTable.Slot replica) {
-        prefixOwners.put(prompt.lastShared(), replica.row.id);
+    void onSent(Prompt prompt, ReplicaEndpoint replica) {
+        prefixOwners.onSent(prompt.lastShared(), replica.id());
     }
 
     /** The replicas of all allowed regions, in the order in which the segments belong to them. */
-    List<ReplicaTable.Slot> ownersInOrder(List<ReplicaTable.Slot> replicas, Request request) {
-        var owners = new ArrayList<ReplicaTable.Slot>();
+    List<ReplicaEndpoint> ownersInOrder(List<ReplicaEndpoint> replicas, Request request) {
+        var owners = new ArrayList<ReplicaEndpoint>();
         for (var replica : replicas) {
-            if (request.route().allows(replica.region) && mayOwn(replica)) {
+            if (request.route().allows(replica.region()) && mayOwn(replica)) {
                 owners.add(replica);
             }
         }
         var segment = request.prompt().lastShared();
         owners.sort(
-                Comparator.comparingInt((ReplicaTable.Slot replica) -> weight(segment, replica))
+                Comparator.comparingInt((ReplicaEndpoint replica) -> weight(segment, replica))
                         .reversed());
         prefixOwners
-                .prefixOwner(segment)
-                .flatMap(replicaTable::slot)
+                .ownerOf(segment)
+                .flatMap(replicaTable::find)
                 .filter(owners::remove)
                 .ifPresent(last -> owners.add(0, last));
         return owners;
     }
 
     /** The replica of one region to which the segments belong by hash. */
-    Optional<ReplicaTable.Slot> ownerInRegion(
-            List<ReplicaTable.Slot> replicas, Request request, String region) {
+    Optional<ReplicaEndpoint> ownerInRegion(
+            List<ReplicaEndpoint> replicas, Request request, String region) {
         var segment = request.prompt().lastShared();
-        var owner = Optional.<ReplicaTable.Slot>empty();
+        var owner = Optional.<ReplicaEndpoint>empty();
         var highest = Integer.MIN_VALUE;
         for (var replica : replicas) {
-            if (replica.region.equals(region) && mayOwn(replica)) {
+            if (replica.region().equals(region) && mayOwn(replica)) {
                 var weight = weight(segment, replica);
                 if (weight > highest) {
                     highest = weight;
@@ -85,12 +86,12 @@
         return owner;
     }
 
-    private static boolean mayOwn(ReplicaTable.Slot replica) {
-        return !replica.row.draining && !replica.row.silent && !replica.resting;
+    private static boolean mayOwn(ReplicaEndpoint replica) {
+        return replica.isAvailable() && !replica.isUnloaded();
     }
 
-    private static int weight(String segment, ReplicaTable.Slot replica) {
-        return mix(segment.hashCode() * HASH_FACTOR + replica.row.id.hashCode());
+    private static int weight(String segment, ReplicaEndpoint replica) {
+        return mix(segment.hashCode() * HASH_FACTOR + replica.id().hashCode());
     }
 
     /** Spreads a hash over all bits. */
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaFeedback.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaFeedback.java
@@ -3,6 +3,7 @@
 import java.util.Optional;
 import martenloom.edge.http.HttpStatus;
 import martenloom.edge.http.MessageHead;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 
 /**
@@ -15,8 +16,8 @@
 
     private static final long MISDIRECTED_SUSPECT_US = 1_500_000;
 
-    /** How long a replica that rejected a request for want of capacity is left alone. */
-    private static final long FULL_US = 60_000;
+    /** How long a replica that rejected a request for lack of capacity is left alone. */
+    private static final long SATURATED_US = 60_000;
 
     /** What a prefill takes besides the time for its tokens. */
     private static final long PREFILL_BASE_US = 15_000;
@@ -29,9 +30,6 @@
     private static final double MAX_TOKENS_PER_MS = 400;
     private static final double US_PER_MS = 1000.0;
 
-    private static final double WORK_SMOOTHING = 0.05;
-    private static final double LEAST_WORK_US = 1000;
-
     private final ReplicaTable replicaTable;
 
     ReplicaFeedback(ReplicaTable replicaTable) {
@@ -46,11 +44,15 @@
         attempt.endPrefill();
         var replica = attempt.replica();
         var tokens = attempt.certainPrefillTokens();
-        var tookUs = attempt.firstEventUs() - attempt.sentUs() - replica.rttUs - PREFILL_BASE_US;
+        var tookUs =
+                attempt.firstEventUs()
+                        - attempt.sentUs()
+                        - replica.latency().roundTripUs()
+                        - PREFILL_BASE_US;
         if (tokens > LEAST_SAMPLE_TOKENS
                 && attempt.tokensAhead() < MAX_SAMPLE_TOKENS_AHEAD
                 && tookUs > LEAST_SAMPLE_US) {
-            replicaTable.learnRate(
+            replicaTable.learnPrefillRate(
                     replica, Math.min(MAX_TOKENS_PER_MS, tokens * US_PER_MS / tookUs));
         }
     }
@@ -67,37 +69,37 @@
                 !HttpStatus.isServerError(status) || status == HttpStatus.GATEWAY_TIMEOUT,
                 nowUs);
         if (HttpStatus.isSuccess(status)) {
-            var workUs = Math.max(LEAST_WORK_US, nowUs - attempt.sentUs() - replica.rttUs);
-            replica.workUs += (workUs - replica.workUs) * WORK_SMOOTHING;
+            replica.latency().onAnswered(nowUs - attempt.sentUs());
         }
     }
 
-    /** An attempt that failed; one that was not sent for want of time is none of the replica's. */
+    /** An attempt that failed, other than one that was not sent for lack of time. */
     void onFailure(
             Attempt attempt, Attempt.Failure failure, Optional<MessageHead> head, long nowUs) {
         var replica = attempt.replica();
         switch (failure) {
-            case UNSENT -> replica.hold(UNREACHABLE_HOLD_US, nowUs);
+            case UNSENT -> replica.reachability().onUnreachable(UNREACHABLE_HOLD_US, nowUs);
             case REJECTED ->
                     head.ifPresent(response -> onRejection(replica, response.status(), nowUs));
             case MAYBE_RUN, TRUNCATED -> learnHealth(replica, false, nowUs);
         }
     }
 
-    private static void onRejection(ReplicaTable.Slot replica, int status, long nowUs) {
+    private static void onRejection(ReplicaEndpoint replica, int status, long nowUs) {
         if (status == HttpStatus.MISDIRECTED_REQUEST) {
-            replica.suspectUntilUs = nowUs + MISDIRECTED_SUSPECT_US;
+            replica.reachability().onMisdirected(MISDIRECTED_SUSPECT_US, nowUs);
         } else if (status == HttpStatus.SERVICE_UNAVAILABLE
                 || status == HttpStatus.TOO_MANY_REQUESTS) {
-            replica.fullUntilUs = nowUs + FULL_US;
+            replica.reachability().onSaturated(SATURATED_US, nowUs);
         }
     }
 
-    private void learnHealth(ReplicaTable.Slot replica, boolean well, long nowUs) {
-        replica.health.answered(well, nowUs);
+    private void learnHealth(ReplicaEndpoint replica, boolean well, long nowUs) {
+        var health = replica.health();
+        health.onOutcome(well, nowUs);
         if (!well) {
-            replicaTable.judge(
-                    replica, replica.health.ok(nowUs), replica.health.bad(nowUs), 0, 0, nowUs);
+            replicaTable.ejectIfOutlier(
+                    replica, health.successes(nowUs), health.failures(nowUs), 0, 0, nowUs);
         }
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import java.util.Random;
 import martenloom.common.settings.Settings;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.routing.route.RouteTable;
 
@@ -44,7 +45,7 @@
     private static final int FIRST_TURN_BELOW = 1 << 20;
 
     /** A replica and what it costs. */
-    private record Candidate(Optional<ReplicaTable.Slot> replica, double costUs) {
+    private record Candidate(Optional<ReplicaEndpoint> replica, double costUs) {
         private static final Candidate NONE = new Candidate(Optional.empty(), Double.MAX_VALUE);
     }
 
@@ -76,11 +77,11 @@
     }
 
     /** The replica for the next attempt of a request, if there is one that can serve it in time. */
-    Optional<ReplicaTable.Slot> select(Request request, long nowUs) {
+    Optional<ReplicaEndpoint> select(Request request, long nowUs) {
         var service = cluster.service(request.service());
-        var replicas = replicaTable.of(request.service());
+        var replicas = replicaTable.ofService(request.service());
         var withheldBy = new ArrayList<String>();
-        var selected = Optional.<ReplicaTable.Slot>empty();
+        var selected = Optional.<ReplicaEndpoint>empty();
         if (service.engine && request.prompt().hasLargeShared()) {
             selected = selectPrefixOwner(replicas, service, request, withheldBy, nowUs);
         }
@@ -88,7 +89,7 @@
             selected = selectByRegion(replicas, service, request, withheldBy, nowUs);
         }
         if (selected.isPresent()) {
-            overload.onChosen(withheldBy, isRemote(selected.get().region));
+            overload.onChosen(withheldBy, isRemote(selected.get().region()));
         } else {
             overload.onNothingChosen(request, withheldBy);
         }
@@ -106,8 +107,8 @@
 
     // ---- by prefix cache
 
-    private Optional<ReplicaTable.Slot> selectPrefixOwner(
-            List<ReplicaTable.Slot> replicas,
+    private Optional<ReplicaEndpoint> selectPrefixOwner(
+            List<ReplicaEndpoint> replicas,
             RouteTable.Service service,
             Request request,
             List<String> withheldBy,
@@ -117,11 +118,11 @@
         var maxInFlight = maxInFlightOfOwner(owners, service, request, nowUs);
         for (var i = 0; i < Math.min(MAX_OWNERS, owners.size()); i++) {
             var owner = owners.get(i);
-            if (CandidateFilter.inFlight(owner, nowUs) <= maxInFlight
+            if (owner.load().inFlight(nowUs) <= maxInFlight
                     && ownerHasRoom(owner, service, request, firstHasCache && i == 0, nowUs)
-                    && !(isRemote(owner.region)
+                    && !(isRemote(owner.region())
                             && overload.withholds(
-                                    request, owner.region, service.model, withheldBy, nowUs))) {
+                                    request, owner.region(), service.model, withheldBy, nowUs))) {
                 return Optional.of(owner);
             }
         }
@@ -129,14 +130,11 @@
     }
 
     private int maxInFlightOfOwner(
-            List<ReplicaTable.Slot> owners,
-            RouteTable.Service service,
-            Request request,
-            long nowUs) {
+            List<ReplicaEndpoint> owners, RouteTable.Service service, Request request, long nowUs) {
         var least = Integer.MAX_VALUE;
         for (var owner : owners) {
             if (filter.isUsable(owner, service, request, nowUs)) {
-                least = Math.min(least, CandidateFilter.inFlight(owner, nowUs));
+                least = Math.min(least, owner.load().inFlight(nowUs));
             }
         }
         return least == Integer.MAX_VALUE
@@ -145,7 +143,7 @@
     }
 
     private boolean ownerHasRoom(
-            ReplicaTable.Slot owner,
+            ReplicaEndpoint owner,
             RouteTable.Service service,
             Request request,
             boolean cached,
@@ -166,8 +164,8 @@
 
     // ---- by region
 
-    private Optional<ReplicaTable.Slot> selectByRegion(
-            List<ReplicaTable.Slot> replicas,
+    private Optional<ReplicaEndpoint> selectByRegion(
+            List<ReplicaEndpoint> replicas,
             RouteTable.Service service,
             Request request,
             List<String> withheldBy,
@@ -212,11 +210,11 @@
     }
 
     /** The allowed regions: the own one first, the others in turns. */
-    private List<String> regionsInOrder(List<ReplicaTable.Slot> replicas, Request request) {
+    private List<String> regionsInOrder(List<ReplicaEndpoint> replicas, Request request) {
         var regions = new ArrayList<String>();
         for (var replica : replicas) {
-            if (!regions.contains(replica.region) && request.route().allows(replica.region)) {
-                regions.add(replica.region);
+            if (!regions.contains(replica.region()) && request.route().allows(replica.region())) {
+                regions.add(replica.region());
             }
         }
         Collections.rotate(regions, turn++);
@@ -227,7 +225,7 @@
     }
 
     private Candidate cheapest(
-            List<ReplicaTable.Slot> replicas,
+            List<ReplicaEndpoint> replicas,
             RouteTable.Service service,
             Request request,
             String region,
@@ -235,11 +233,11 @@
         var owner =
                 service.engine && request.prompt().hasShared()
                         ? prefixCache.ownerInRegion(replicas, request, region)
-                        : Optional.<ReplicaTable.Slot>empty();
-        var cheapest = Optional.<ReplicaTable.Slot>empty();
+                        : Optional.<ReplicaEndpoint>empty();
+        var cheapest = Optional.<ReplicaEndpoint>empty();
         var leastUs = Double.MAX_VALUE;
         for (var replica : replicas) {
-            if (!replica.region.equals(region)
+            if (!replica.region().equals(region)
                     || !filter.isUsable(replica, service, request, nowUs)
                     || filter.isTooFullForKind(replica, service, request, nowUs)) {
                 continue;
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -18,6 +18,7 @@
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.RoutingView;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -27,7 +28,10 @@
  * RetryPolicy}'s. Runs on the reactor thread.
  */
 public final class RequestDispatcher
-        implements ClientConnection.RequestHandler, RequestQueues.Owner, AttemptHandler.Owner {
+        implements ClientConnection.RequestHandler,
+                RequestQueues.Owner,
+                AttemptHandler.Owner,
+                RoutingView {
     /** Services of a route are drawn by its weights in steps of this prime. */
     private static final int SERVICE_STEP = 61;
 
@@ -136,7 +140,7 @@
             if (!request.isJob() && service != null && service.engine) {
                 var region =
                         request.attempt()
-                                .map(attempt -> attempt.replica().region)
+                                .map(attempt -> attempt.replica().region())
                                 .orElse(settings.region);
                 summary.fly(ClusterView.regionAndModel(region, service.model));
             }
@@ -145,7 +149,7 @@
 
     // ---- what the core tells
 
-    /** The route table in force. */
+    @Override
     public RouteTable table() {
         return cluster.table();
     }
@@ -155,6 +159,7 @@
         return cluster.edgeCount();
     }
 
+    @Override
     public Set<String> evacuatedZones() {
         return cluster.evacuatedZones();
     }
@@ -178,8 +183,8 @@
 
     /** Takes a record of a replica; one that is gone is dropped. */
     public void onReplica(ReplicaRecord replica) {
-        replicaTable.take(replica);
-        replicaTable.slot(replica.id).ifPresent(cluster::markResting);
+        replicaTable.register(replica);
+        replicaTable.find(replica.id).ifPresent(cluster::markUnloaded);
     }
 
     // ---- requests of clients
@@ -232,7 +237,7 @@
 
     private void admit(Request request, long nowUs) {
         starter.onRequest(request, nowUs);
-        replicaTable.weigh(request.route(), request.prompt());
+        replicaTable.predictor().learnPromptSize(request.route(), request.prompt());
         if (request.deadlineUs() <= nowUs + LEAST_LEFT_US || admission.tooLate(request, nowUs)) {
             completion.reject(request, RETRY_AFTER_TOO_LATE_S);
             return;
@@ -320,7 +325,7 @@
 
     @Override
     public long maxWaitUs(Request request) {
-        if (filter.allResting(request)) {
+        if (filter.allUnloaded(request)) {
             return request.totalTimeUs() / 2;
         }
         return Math.min(
@@ -358,11 +363,7 @@
             client.enforceTimeouts(now);
         }
         for (var replica : replicaTable.all()) {
-            for (var connection : List.copyOf(replica.idle)) {
-                if (!connection.usable(now)) {
-                    connection.close();
-                }
-            }
+            replica.connections().closeUnusable(now);
         }
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/StallDetector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/StallDetector.java
@@ -1,9 +1,10 @@
 package martenloom.edge.dispatch;
 
-import java.util.List;
 import martenloom.common.clock.Clocks;
 import martenloom.common.log.RingLog;
-import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.LatencyEstimate;
+import martenloom.edge.replica.LatencyPredictor;
+import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -39,45 +40,37 @@
         this.cluster = cluster;
     }
 
-    void check(ReplicaTable.Slot replica, long nowUs) {
-        if (replica.attempts.isEmpty()
-                || replica.quietSinceUs == 0 && nowUs - replica.heardUs < RECENTLY_HEARD_US) {
-            replica.wondering = false;
+    void check(ReplicaEndpoint replica, long nowUs) {
+        var reachability = replica.reachability();
+        var heardUs = reachability.heardUs();
+        if (replica.attemptCount() == 0
+                || !reachability.isUnanswered() && nowUs - heardUs < RECENTLY_HEARD_US) {
+            reachability.setSuspecting(false);
             return;
         }
-        var unresponsiveUs = nowUs - Math.max(replica.heardUs, firstSentUs(replica, nowUs));
+        var unresponsiveUs = nowUs - Math.max(heardUs, replica.firstSentUs(nowUs));
         var patienceUs = patienceUs(replica);
-        replica.wondering = unresponsiveUs > Math.max(patienceUs / 2, patienceUs - PROBE_LEAD_US);
+        reachability.setSuspecting(
+                unresponsiveUs > Math.max(patienceUs / 2, patienceUs - PROBE_LEAD_US));
         if (unresponsiveUs < patienceUs
-                || replica.othersHear(nowUs)
+                || reachability.peersHear(nowUs)
                         && unresponsiveUs < patienceUs * PATIENCE_FACTOR_IF_HEARD_BY_OTHERS) {
             return;
         }
         suspect(replica, nowUs);
     }
 
-    private static long firstSentUs(ReplicaTable.Slot replica, long noneUs) {
-        var firstUs = Long.MAX_VALUE;
-        for (var attempt : replica.attempts) {
-            if (attempt.sentUs() > 0) {
-                firstUs = Math.min(firstUs, attempt.sentUs());
-            }
-        }
-        return firstUs == Long.MAX_VALUE ? noneUs : firstUs;
-    }
-
-    private static void suspect(ReplicaTable.Slot replica, long nowUs) {
-        if (replica.suspectUntilUs < nowUs) {
+    private static void suspect(ReplicaEndpoint replica, long nowUs) {
+        if (replica.reachability().suspectedUntilUs() < nowUs) {
             RingLog.note(
                     "replica "
-                            + replica.row.id
+                            + replica.id()
                             + " is unresponsive with "
-                            + replica.attempts.size()
+                            + replica.attemptCount()
                             + " attempts in flight");
         }
-        replica.suspectUntilUs = Math.max(replica.suspectUntilUs, nowUs + SUSPECT_US);
-        replica.doubtful = true;
-        for (var attempt : List.copyOf(replica.attempts)) {
+        replica.reachability().onUnresponsive(SUSPECT_US, nowUs);
+        for (var attempt : replica.attempts()) {
             attempt.onReplicaUnresponsive(nowUs);
         }
     }
@@ -87,35 +80,32 @@
      * tokens, and between any two of them a step of another prompt's prefill may run, so a stream
      * may pause for as many steps.
      */
-    private long patienceUs(ReplicaTable.Slot replica) {
-        var service = cluster.table().services.get(replica.row.service);
+    private long patienceUs(ReplicaEndpoint replica) {
+        var service = cluster.table().services.get(replica.service());
+        var latency = replica.latency();
         if (service == null || !service.engine) {
             return (long)
-                    Math.max(LEAST_PLAIN_US, replica.workUs * USUAL_WORK_FACTOR + replica.rttUs);
+                    Math.max(
+                            LEAST_PLAIN_US,
+                            latency.serviceTimeUs() * USUAL_WORK_FACTOR + latency.roundTripUs());
         }
-        var pendingTokens = replica.unread + replica.othersUnread(Clocks.nowUs());
-        if (anyPrefilled(replica)) {
-            return streamPauseUs(replica, service, pendingTokens);
+        var pendingTokens = replica.load().pendingPrefillTokens(Clocks.nowUs());
+        if (replica.hasPrefilledAttempt()) {
+            return streamPauseUs(latency, service, pendingTokens);
         }
         return (long)
                 (PREFILL_BASE_US
-                        + replica.rttUs
-                        + pendingTokens / replica.rate * SLOW_PREFILL_US_PER_MS);
-    }
-
-    private static boolean anyPrefilled(ReplicaTable.Slot replica) {
-        for (var attempt : replica.attempts) {
-            if (attempt.prefilled()) {
-                return true;
-            }
-        }
-        return false;
+                        + latency.roundTripUs()
+                        + pendingTokens / latency.prefillTokensPerMs() * SLOW_PREFILL_US_PER_MS);
     }
 
     private static long streamPauseUs(
-            ReplicaTable.Slot replica, RouteTable.Service service, int pendingTokens) {
-        var stepTokens = Math.min(pendingTokens, ReplicaTable.PIECE * service.stepSize);
+            LatencyEstimate latency, RouteTable.Service service, int pendingTokens) {
+        var stepTokens =
+                Math.min(pendingTokens, LatencyPredictor.PREFILL_CHUNK_TOKENS * service.stepSize);
         return (long)
-                (STREAM_PAUSE_BASE_US + replica.rttUs + stepTokens / replica.rate * US_PER_MS);
+                (STREAM_PAUSE_BASE_US
+                        + latency.roundTripUs()
+                        + stepTokens / latency.prefillTokensPerMs() * US_PER_MS);
     }
 }
