--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -294,7 +294,7 @@
 
     private void onReport(OverloadReport report) {
         if (!report.region().equals(settings.region)) {
-            dispatcher.reports.onReport(report, Clocks.nowUs());
+            dispatcher.overloadReports().onReport(report, Clocks.nowUs());
         }
     }
 
--- a/edge/src/main/java/martenloom/edge/jobs/JobRun.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRun.java
@@ -8,7 +8,10 @@
 import martenloom.common.jobs.Job;
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.Request;
+import martenloom.edge.dispatch.ResponseSink;
 import martenloom.edge.home.CoreReply;
+import martenloom.edge.http.HeaderField;
+import martenloom.edge.http.HttpStatus;
 
 /**
  * One run of a job: takes the answer to its request, saves the output of a resumable job at the
@@ -16,7 +19,7 @@
  * are made one at a time, and repeated until their outcome is known; the run that they name makes
  * that harmless. Runs on the reactor thread.
  */
-final class JobRun implements Request.Sink {
+final class JobRun implements ResponseSink {
     /** Output is saved when there is more than this. */
     private static final int SAVE_ABOVE_BYTES = 16 << 10;
 
@@ -30,9 +33,6 @@
 
     private static final int STATUS_FROM = 9;
     private static final int STATUS_TO = 12;
-    private static final int OK = 200;
-    private static final int TOO_MANY_REQUESTS = 429;
-    private static final int SERVICE_UNAVAILABLE = 503;
 
     /** What a run needs of the runner of the jobs. */
     interface Owner {
@@ -111,17 +111,19 @@
     // ---- the answer
 
     @Override
-    public void whole(byte[] headBytes, byte[] body) {
+    public void respond(byte[] headBytes, byte[] body) {
         var head = new String(headBytes, StandardCharsets.ISO_8859_1);
         var status = Integer.parseInt(head.substring(STATUS_FROM, STATUS_TO));
         var sealed = head.toLowerCase(Locale.ROOT).contains("\r\nx-server-seal:");
-        if (sealed && status / 100 == 2) {
+        if (sealed && HttpStatus.isSuccess(status)) {
             output.writeBytes(body);
             reportResult(status);
-        } else if (sealed || head.contains("X-Attempt-Id")) {
+        } else if (sealed || head.contains(HeaderField.ATTEMPT_ID)) {
             reportFailure(RunFailure.RAN_AND_FAILED, "the replica answered " + status);
         } else {
-            var rejected = status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS;
+            var rejected =
+                    status == HttpStatus.SERVICE_UNAVAILABLE
+                            || status == HttpStatus.TOO_MANY_REQUESTS;
             reportFailure(
                     rejected ? RunFailure.NOT_RUN : RunFailure.MAY_HAVE_RUN,
                     "no answer: " + status);
@@ -129,12 +131,12 @@
     }
 
     @Override
-    public void open(byte[] head) {
+    public void beginStream(byte[] head) {
         // Its events are the output.
     }
 
     @Override
-    public void event(byte[] events) {
+    public void sendEvents(byte[] events) {
         output.writeBytes(events);
         if (output.size() > SAVE_ABOVE_BYTES) {
             saveOutput();
@@ -142,18 +144,18 @@
     }
 
     @Override
-    public void end() {
-        reportResult(OK);
+    public void endStream() {
+        reportResult(HttpStatus.OK);
     }
 
     @Override
-    public void cut() {
+    public void abortStream() {
         saveOutput();
         reportFailure(RunFailure.MAY_HAVE_RUN, "the stream was cut");
     }
 
     @Override
-    public int waiting() {
+    public int unsentBytes() {
         return 0;
     }
 
@@ -167,7 +169,7 @@
         saving = true;
         var unsaved = output.toByteArray();
         output.reset();
-        save(request.get().lastEvent, unsaved, 0);
+        save(request.get().lastEventId(), unsaved, 0);
     }
 
     /** The same report again until its outcome is known; its offset makes that harmless. */
--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -16,7 +16,8 @@
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.home.CoreReply;
 import martenloom.edge.home.CoreRequests;
-import martenloom.edge.http.Head;
+import martenloom.edge.http.HeaderField;
+import martenloom.edge.http.MessageHead;
 
 /**
  * Runs the deferred jobs of a region while this edge holds that role. It picks by urgency, then by
@@ -105,7 +106,7 @@
         RingLog.note("job " + run.jobId() + " is abandoned: " + reason);
         runs.remove(run.jobId());
         run.abandon();
-        run.request().ifPresent(dispatcher::dropJob);
+        run.request().ifPresent(dispatcher::cancelJob);
     }
 
     private void abandonAll(String reason) {
@@ -138,7 +139,7 @@
     }
 
     private static long ageUs(JobRun run) {
-        return Clocks.nowUs() - run.request().map(request -> request.arrivedUs).orElse(0L);
+        return Clocks.nowUs() - run.request().map(request -> request.arrivedUs()).orElse(0L);
     }
 
     private boolean isKnownHere(JobListing listing) {
@@ -180,7 +181,7 @@
                     listing.id(), "urgency " + urgency + ": " + MAX_RUNS + " jobs run already");
             return;
         }
-        if (!dispatcher.jobRoom(listing.route(), urgency)) {
+        if (!dispatcher.hasJobCapacity(listing.route(), urgency)) {
             waitReasons.put(listing.id(), "urgency " + urgency + ": no room to spare for it");
             return;
         }
@@ -210,20 +211,18 @@
         }
     }
 
-    private static Head requestHead(Job job, long fencingToken, long leftUs) {
-        var head = new Head();
-        head.one = job.method;
-        head.two = job.path;
-        head.three = "HTTP/1.1";
-        head.set("Host", job.host);
+    private static MessageHead requestHead(Job job, long fencingToken, long leftUs) {
+        var head = MessageHead.newRequest(job.method, job.path);
+        head.set(HeaderField.HOST, job.host);
         for (var field : job.fields) {
             var colon = field.indexOf(':');
             head.set(field.substring(0, colon), field.substring(colon + 1).strip());
         }
-        head.set("X-Attempt-Id", "job-" + job.id + "-" + fencingToken + "-" + job.runs);
+        head.set(HeaderField.ATTEMPT_ID, "job-" + job.id + "-" + fencingToken + "-" + job.runs);
         head.set(
-                "X-Time-Remaining", String.valueOf(Math.max(MIN_TIME_REMAINING_MS, leftUs / 1000)));
-        head.set("Content-Length", String.valueOf(job.body.length));
+                HeaderField.TIME_REMAINING,
+                String.valueOf(Math.max(MIN_TIME_REMAINING_MS, leftUs / 1000)));
+        head.set(HeaderField.CONTENT_LENGTH, String.valueOf(job.body.length));
         return head;
     }
 
--- a/edge/src/main/java/martenloom/edge/lifecycle/GracefulShutdown.java
+++ b/edge/src/main/java/martenloom/edge/lifecycle/GracefulShutdown.java
@@ -73,7 +73,8 @@
         this.stopListening = stopListening;
         var graceUs = (long) (bounds.graceS * US_PER_SECOND);
         limitRequestsUs = Math.min(CUT_FORGIVEN_US, graceUs / 2);
-        closeConnectionsUs = Math.max(0, limitRequestsUs - ClientConnection.IDLE_WHILE_LEAVING_US);
+        closeConnectionsUs =
+                Math.max(0, limitRequestsUs - ClientConnection.MAX_IDLE_IN_SHUTDOWN_US);
         endAllUs = Math.max(0, graceUs - END_BEFORE_KILL_US);
         endWhenIdleUs =
                 Math.max(
@@ -86,8 +87,8 @@
 
     /** Schedules the steps. */
     public void begin() {
-        at(closeConnectionsUs, dispatcher::closeConnections);
-        at(limitRequestsUs, () -> dispatcher.takeOnlyUntil(startUs + endAllUs - TIMER_MARGIN_US));
+        at(closeConnectionsUs, dispatcher::beginClosingConnections);
+        at(limitRequestsUs, () -> dispatcher.admitOnlyUntil(startUs + endAllUs - TIMER_MARGIN_US));
         at(endWhenIdleUs, this::endWhenIdle);
         at(endAllUs, this::endAll);
     }
@@ -107,11 +108,11 @@
 
     private void endAll() {
         admitNothing();
-        dispatcher.endAll();
+        dispatcher.terminateAll();
     }
 
     private void endWhenIdle() {
-        if (dispatcher.holdsAnything()) {
+        if (dispatcher.hasPendingWork()) {
             Clocks.after(loop, POLL_US, this::endWhenIdle);
             return;
         }
@@ -121,8 +122,8 @@
 
     /** What was read in the very moment in which the listener closed is still finished. */
     private void endOrFinish() {
-        dispatcher.closeIdle();
-        if (dispatcher.holdsAnything()) {
+        dispatcher.closeIdleConnections();
+        if (dispatcher.hasPendingWork()) {
             Clocks.after(loop, POLL_US, this::endOrFinish);
         } else {
             ended.countDown();
@@ -131,6 +132,6 @@
 
     private void admitNothing() {
         stopListening.run();
-        dispatcher.takeOnlyUntil(0);
+        dispatcher.admitOnlyUntil(0);
     }
 }
--- a/edge/src/main/java/martenloom/edge/load/ClusterLoadView.java
+++ b/edge/src/main/java/martenloom/edge/load/ClusterLoadView.java
@@ -71,7 +71,7 @@
         var sample = sample(now);
         var bytes = sample.write(new RecordWriter()).bytes();
         if (Arrays.equals(bytes, lastSample)
-                && dispatcher.places.isAllReported()
+                && dispatcher.prefixOwners().isAllReported()
                 && ++unchangedTurns < MAX_UNCHANGED_TURNS) {
             return Optional.empty();
         }
@@ -87,7 +87,7 @@
                                 .text(ip)
                                 .i64(incarnation)
                                 .i64(sequence));
-        dispatcher.places.writeUnreported(out);
+        dispatcher.prefixOwners().writeUnreported(out);
         return Optional.of(out.bytes());
     }
 
@@ -96,7 +96,7 @@
         for (var replica : replicaTable.all()) {
             addReplica(sample, replica, now);
         }
-        dispatcher.inFlight(sample);
+        dispatcher.addRequestsInFlight(sample);
         return sample;
     }
 
@@ -124,7 +124,7 @@
         var own = samples.getOrDefault(in.i64(), new LoadSummary());
         total = LoadSummary.read(in);
         totalAtUs = now;
-        dispatcher.places.readReported(in);
+        dispatcher.prefixOwners().readReported(in);
         var zone = LoadSummary.read(in);
         for (var replica : replicaTable.all()) {
             applyTotal(replica, own, zone, now);
--- a/edge/src/main/java/martenloom/edge/replica/RoutingView.java
+++ b/edge/src/main/java/martenloom/edge/replica/RoutingView.java
@@ -12,7 +12,7 @@
     RouteTable table();
 
     /** The zones from which requests are kept away. */
-    Set<String> evacuated();
+    Set<String> evacuatedZones();
 
     /** Whether a replica is an engine that serves a model. */
     default boolean servesModel(ReplicaEndpoint replica, String model) {
@@ -24,6 +24,6 @@
     default boolean isInService(ReplicaEndpoint replica) {
         return replica.isAvailable()
                 && !replica.isDeregistered()
-                && !evacuated().contains(replica.zone());
+                && !evacuatedZones().contains(replica.zone());
     }
 }
--- a/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
+++ b/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
@@ -73,9 +73,9 @@
                         + newRevision
                         + " from home "
                         + home.ip());
-        dispatcher.onPlaced(placements);
+        dispatcher.onPlacements(placements);
         scaler.onPlacements(placements);
-        dispatcher.onEvacuated(Set.copyOf(evacuated), Clocks.nowUs());
+        dispatcher.onEvacuatedZones(Set.copyOf(evacuated), Clocks.nowUs());
     }
 
     private static Map<String, ReplicaPlacement> readPlacements(RecordReader in) {
--- a/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
+++ b/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
@@ -82,7 +82,7 @@
         var homeDigest = in.i32();
         readEdges(in);
         home.onCores(in.texts(), staleUs);
-        dispatcher.onEdges(maxEdges);
+        dispatcher.onEdgeCount(maxEdges);
         jobsExist = in.flag();
         readPermits(in, sentUs);
         compare(homeEdition, homeDigest);
