--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -20,10 +20,10 @@
 /**
  * One attempt of a request at one replica: takes or opens a connection, sends the request, and
  * turns the response into events for its listener. It decides nothing about what follows; a failure
- * is told by how far the attempt got, for that decides whether a retry is allowed.
+ * says how far the attempt got, for that decides whether a retry is allowed.
  *
  * <p>States: {@code CONNECTING} → {@code SENT} → {@code RESPONDING} with the head of the response;
- * {@code OVER} from any state and for good. The listener is told of exactly one end ({@code
+ * {@code OVER} from any state and for good. The listener is notified of exactly one end ({@code
  * onStreamEnd}, {@code onResponse} or {@code onFailed}), or of none after {@link #abandon}. Runs on
  * the reactor thread.
  */
@@ -48,7 +48,7 @@
         TRUNCATED
     }
 
-    /** Is told what becomes of an attempt. */
+    /** Is notified of what becomes of an attempt. */
     interface Listener {
         void onStreamHead(Attempt attempt, MessageHead head);
 
@@ -366,7 +366,7 @@
         replica.removeAttempt(this);
     }
 
-    /** Ends the attempt from our side: off the load, and without a word to the listener. */
+    /** Ends the attempt from our side: off the load, and without notifying the listener. */
     void abandon() {
         removeFromLoad();
         if (state != State.OVER) {
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
@@ -9,8 +9,8 @@
 
 /**
  * Carries out what {@link RetryPolicy} decides about the events of attempts: passes responses on to
- * clients, starts retries, and ends requests. What a replica did is told to {@link
- * ReplicaFeedback}. Runs on the reactor thread.
+ * clients, starts retries, and ends requests. {@link ReplicaFeedback} learns what a replica did.
+ * Runs on the reactor thread.
  */
 final class AttemptHandler implements Attempt.Listener {
     /** Reading a stream is paused while more than this waits for the client to read it. */
@@ -37,8 +37,7 @@
     private final Eventloop loop;
     private final ReplicaTable replicaTable;
     private final RequestCompletion completion;
-    private final ShutdownAdmissionPolicy admission;
-    private final DispatchCounters counters;
+    private final ShutdownAdmissionPolicy admissionPolicy;
     private final Owner owner;
     private final ReplicaFeedback feedback;
 
@@ -46,14 +45,12 @@
             Eventloop loop,
             ReplicaTable replicaTable,
             RequestCompletion completion,
-            ShutdownAdmissionPolicy admission,
-            DispatchCounters counters,
+            ShutdownAdmissionPolicy admissionPolicy,
             Owner owner) {
         this.loop = loop;
         this.replicaTable = replicaTable;
         this.completion = completion;
-        this.admission = admission;
-        this.counters = counters;
+        this.admissionPolicy = admissionPolicy;
         this.owner = owner;
         feedback = new ReplicaFeedback(replicaTable);
     }
@@ -118,9 +115,8 @@
     }
 
     private void finishAnswered(Request request, long nowUs) {
-        admission.onAnswered(request, nowUs);
-        completion.finish(request);
-        counters.countServed();
+        admissionPolicy.onAnswered(request, nowUs);
+        completion.finishServed(request);
     }
 
     // ---- other responses and failures
@@ -230,7 +226,7 @@
             request.setAttempt(attempt);
             return;
         }
-        counters.countMoved();
+        completion.countMoved();
         attempt.abandon();
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
@@ -96,6 +96,7 @@
     private boolean closeAfterResponse;
     private Optional<Request> request = Optional.empty();
 
+    /** Reads requests from a socket from now on. */
     public ClientConnection(Eventloop loop, ITcpSocket tcpSocket, RequestHandler handler) {
         this.loop = loop;
         this.handler = handler;
--- a/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
@@ -9,7 +9,7 @@
 import martenloom.routing.route.RouteTable;
 
 /**
- * What the core has told this edge of the cluster: the route table in force, the evacuated zones,
+ * What this edge knows of the cluster from the core: the route table in force, the evacuated zones,
  * the placement of replicas and the number of edges. Marks in the replica table which replicas are
  * unloaded and which start cold after an evacuation. Runs on the reactor thread.
  */
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
@@ -61,7 +61,7 @@
         return Collections.unmodifiableSet(deadlines.keySet());
     }
 
-    /** Ends a request whose response is passed on by the caller. */
+    /** Ends a request without an answer from here. */
     void finish(Request request) {
         request.become(Request.State.DONE);
         Optional.ofNullable(deadlines.remove(request)).ifPresent(Clocks.Timer::cancel);
@@ -70,6 +70,17 @@
         }
     }
 
+    /** Ends a request whose complete response is passed on by the caller. */
+    void finishServed(Request request) {
+        finish(request);
+        counters.countServed();
+    }
+
+    /** Counts an attempt that was moved off its replica. */
+    void countMoved() {
+        counters.countMoved();
+    }
+
     /** Ends a request that nobody waits for any longer, and abandons its attempt. */
     void cancel(Request request) {
         if (!request.done()) {
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -1,9 +1,7 @@
 package martenloom.edge.dispatch;
 
 import io.activej.eventloop.Eventloop;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
@@ -11,8 +9,6 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
-import martenloom.edge.http.ErrorResponse;
-import martenloom.edge.http.HttpStatus;
 import martenloom.edge.http.MessageHead;
 import martenloom.edge.overload.Overload;
 import martenloom.edge.replica.PrefixOwners;
@@ -22,77 +18,54 @@
 import martenloom.routing.route.RouteTable;
 
 /**
- * The owner of all requests at this edge: admits them, queues those that find no replica, and wires
- * the events of clients, attempts, the core and the clock to the classes that decide. Which replica
- * a request goes to is {@link ReplicaSelector}'s matter, what follows an attempt {@link
- * RetryPolicy}'s. Runs on the reactor thread.
+ * The owner of all requests at this edge: wires the events of clients, attempts, the core and the
+ * clock to the classes that decide. {@link RequestAdmission} admits a request, {@link
+ * RequestScheduler} sends or queues it, {@link ReplicaSelector} picks its replica, {@link
+ * RetryPolicy} decides what follows an attempt, and {@link RequestCompletion} ends it. Runs on the
+ * reactor thread.
  */
-public final class RequestDispatcher
-        implements ClientConnection.RequestHandler,
-                RequestQueues.Owner,
-                AttemptHandler.Owner,
-                RoutingView {
-    /** Services of a route are drawn by its weights in steps of this prime. */
-    private static final int SERVICE_STEP = 61;
-
-    /** File descriptors that are left to other things than clients and their replicas. */
-    private static final int RESERVED_FDS = 200;
-
-    /** A request with less time left than this is rejected when it comes. */
-    private static final long LEAST_LEFT_US = 1000;
-
-    /** After how long a client may come again that had too little time. */
-    private static final double RETRY_AFTER_TOO_LATE_S = 0.1;
-
-    /** After how long a client may come again when the queue of its service is full. */
-    private static final double RETRY_AFTER_FULL_S = 1;
-
-    /** The wait of clients before the first configuration, less the time since the start. */
-    private static final double RETRY_AFTER_START_S = 2;
-
-    private static final double LEAST_RETRY_AFTER_START_S = 0.4;
-    private static final double US_PER_S = 1e6;
-
-    /** The parts of the latency target and of its time for which a request may be queued. */
-    private static final int MAX_WAIT_OF_LATENCY = 5;
-
-    private static final int MAX_WAIT_OF_TIME = 3;
-
-    private final Eventloop loop;
+public final class RequestDispatcher implements ClientConnection.RequestHandler, RoutingView {
     private final Settings settings;
     private final ReplicaTable replicaTable;
     private final PrefixOwners prefixOwners = new PrefixOwners();
     private final Overload.Receiver overloadReports = new Overload.Receiver();
     private final DispatchCounters counters = new DispatchCounters();
-    private final RoundRobinCounter roundRobin = new RoundRobinCounter();
-    private final ShutdownAdmissionPolicy admission = new ShutdownAdmissionPolicy();
+    private final ShutdownAdmissionPolicy shutdownPolicy = new ShutdownAdmissionPolicy();
     private final OverloadReduction overload = new OverloadReduction(overloadReports);
-    private final RequestQueues queues = new RequestQueues(this);
+    private final ClientConnections clients;
     private final ClusterView cluster;
     private final CandidateFilter filter;
-    private final AttemptStarter starter;
     private final StallDetector stallDetector;
     private final RequestCompletion completion;
-    private final AttemptHandler attemptHandler;
-    private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    private final long startedUs = Clocks.nowUs();
+    private final RequestAdmission admission;
+    private final RequestScheduler scheduler;
     private boolean closesConnections;
-    private boolean drainPosted;
 
+    /** A dispatcher without routes and replicas; both come from the core. */
     public RequestDispatcher(Eventloop loop, Settings settings, ReplicaTable replicaTable) {
-        this.loop = loop;
         this.settings = settings;
         this.replicaTable = replicaTable;
+        clients = new ClientConnections(loop, settings.maxFds);
         cluster = new ClusterView(replicaTable);
         filter = new CandidateFilter(settings, replicaTable, cluster);
+        stallDetector = new StallDetector(cluster);
         var prefixCache = new PrefixCacheOwnership(replicaTable, prefixOwners);
         var selector =
                 new ReplicaSelector(settings, replicaTable, cluster, filter, prefixCache, overload);
-        starter = new AttemptStarter(loop, settings, cluster, selector, prefixCache, counters);
-        stallDetector = new StallDetector(cluster);
+        var starter = new AttemptStarter(loop, settings, cluster, selector, prefixCache, counters);
+        var roundRobin = new RoundRobinCounter();
         completion = new RequestCompletion(loop, counters, overloadReports, roundRobin);
-        attemptHandler =
-                new AttemptHandler(loop, replicaTable, completion, admission, counters, this);
+        admission =
+                new RequestAdmission(
+                        cluster,
+                        shutdownPolicy,
+                        roundRobin,
+                        completion,
+                        starter,
+                        replicaTable.predictor());
+        scheduler =
+                new RequestScheduler(
+                        loop, replicaTable, filter, starter, completion, shutdownPolicy);
     }
 
     // ---- what it shares
@@ -147,7 +120,7 @@
         }
     }
 
-    // ---- what the core tells
+    // ---- configuration and replicas
 
     @Override
     public RouteTable table() {
@@ -197,9 +170,6 @@
     @Override
     public void onOpened(ClientConnection client) {
         clients.add(client);
-        if (clients.size() > (settings.maxFds - RESERVED_FDS) / 2) {
-            loop.post(client::close);
-        }
     }
 
     @Override
@@ -217,49 +187,12 @@
     public void onRequest(ClientConnection client, MessageHead head, byte[] body) {
         var now = Clocks.nowUs();
         counters.countRequest();
-        if (table().revision == 0) {
-            rejectBeforeConfiguration(client, now);
-            return;
-        }
-        var found = RouteLookup.find(table(), head);
-        if (found.isEmpty()) {
-            client.respond(ErrorResponse.head(HttpStatus.NOT_FOUND), ErrorResponse.noBody());
-            return;
-        }
-        var route = found.get();
-        var service = route.service(roundRobin.next(SERVICE_STEP));
-        var sink = admission.sinkFor(client, route, now);
-        var request = new Request(head, body, route, service, sink, now);
-        request.countClientTimeFrom(client.requestBeganUs());
-        client.attach(request);
-        admit(request, now);
-    }
-
-    private void admit(Request request, long nowUs) {
-        starter.onRequest(request, nowUs);
-        replicaTable.predictor().learnPromptSize(request.route(), request.prompt());
-        if (request.deadlineUs() <= nowUs + LEAST_LEFT_US || admission.tooLate(request, nowUs)) {
-            completion.reject(request, RETRY_AFTER_TOO_LATE_S);
-            return;
-        }
-        completion.open(request, nowUs);
-        if (!dispatch(request, nowUs)) {
-            enqueue(request, nowUs);
+        var admitted = admission.admit(client, head, body, now);
+        if (admitted.isPresent()) {
+            scheduler.schedule(admitted.get(), now);
         }
     }
 
-    /** Until the first configuration has come, clients are told to come again soon. */
-    private void rejectBeforeConfiguration(ClientConnection client, long nowUs) {
-        var waitS =
-                Math.max(
-                        LEAST_RETRY_AFTER_START_S,
-                        RETRY_AFTER_START_S - (nowUs - startedUs) / US_PER_S);
-        client.respond(
-                ErrorResponse.head(
-                        HttpStatus.SERVICE_UNAVAILABLE, String.format(Locale.ROOT, "%.2f", waitS)),
-                ErrorResponse.noBody());
-    }
-
     // ---- deferred jobs
 
     /**
@@ -271,28 +204,24 @@
     }
 
     /**
-     * Starts a job as a request of its own kind: it is never queued, where it could stand before
-     * others.
+     * Starts a job as a request of its own kind, which is never queued.
      *
      * @param lastEventId the event behind which the job is resumed; empty for none
+     * @return the request, or empty if there is no route or no replica for it now
      */
     public Optional<Request> startJob(
             MessageHead head, byte[] body, ResponseSink sink, int urgency, String lastEventId) {
         var now = Clocks.nowUs();
-        var route = RouteLookup.findForJob(table(), head);
-        if (route.isEmpty()) {
-            return Optional.empty();
+        var admitted = admission.admitJob(head, body, sink, now);
+        if (admitted.isEmpty()) {
+            return admitted;
         }
-        var service = route.get().service(roundRobin.next(SERVICE_STEP));
-        var request = new Request(head, body, route.get(), service, sink, now);
-        request.makeJob(urgency, lastEventId);
-        completion.open(request, now);
-        if (!dispatch(request, now)) {
-            completion.finish(request);
+        admitted.get().makeJob(urgency, lastEventId);
+        if (!scheduler.scheduleJob(admitted.get(), now)) {
             return Optional.empty();
         }
         counters.countJob();
-        return Optional.of(request);
+        return admitted;
     }
 
     /** Ends a job that nobody waits for any longer. */
@@ -300,57 +229,12 @@
         completion.cancel(request);
     }
 
-    // ---- attempts and queues
-
-    @Override
-    public boolean dispatch(Request request, long nowUs) {
-        return starter.start(request, attemptHandler, nowUs);
-    }
-
-    @Override
-    public void enqueue(Request request, long nowUs) {
-        if (request.isJob()) {
-            completion.giveUp(request);
-        } else if (!RetryPolicy.mayWaitForRetry(request)) {
-            completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
-        } else if (!queues.add(request)) {
-            completion.reject(request, RETRY_AFTER_FULL_S);
-        }
-    }
-
-    @Override
-    public void reject(Request request, double retryAfterS) {
-        completion.reject(request, retryAfterS);
-    }
-
-    @Override
-    public long maxWaitUs(Request request) {
-        if (filter.allUnloaded(request)) {
-            return request.totalTimeUs() / 2;
-        }
-        return Math.min(
-                request.route().aimUs / MAX_WAIT_OF_LATENCY,
-                request.totalTimeUs() / MAX_WAIT_OF_TIME);
-    }
-
-    @Override
-    public void onCapacityFreed() {
-        if (!drainPosted && queues.anyWaiting()) {
-            drainPosted = true;
-            loop.post(
-                    () -> {
-                        drainPosted = false;
-                        queues.drain(Clocks.nowUs());
-                    });
-        }
-    }
-
     // ---- time
 
     /** Every 20 ms: offers what is queued again, and finds unresponsive replicas. */
     public void tick() {
         var now = Clocks.nowUs();
-        queues.drain(now);
+        scheduler.drainQueues(now);
         for (var replica : List.copyOf(replicaTable.all())) {
             stallDetector.check(replica, now);
         }
@@ -359,9 +243,7 @@
     /** Twice a second: closes connections that are idle for too long or of no use any more. */
     public void sweep() {
         var now = Clocks.nowUs();
-        for (var client : List.copyOf(clients)) {
-            client.enforceTimeouts(now);
-        }
+        clients.enforceTimeouts(now);
         for (var replica : replicaTable.all()) {
             replica.connections().closeUnusable(now);
         }
@@ -387,13 +269,13 @@
      * may last longer are buffered; see {@link ShutdownAdmissionPolicy}.
      */
     public void admitOnlyUntil(long terminationUs) {
-        admission.setTermination(terminationUs);
+        shutdownPolicy.setTermination(terminationUs);
     }
 
     /** Whether a client still waits for a response, or for bytes of one that are on their way. */
     public boolean hasPendingWork() {
         return completion.openRequests().stream().anyMatch(request -> !request.isJob())
-                || clients.stream().anyMatch(client -> client.unsentBytes() > 0);
+                || clients.anyUnsentBytes();
     }
 
     /** Ends all interactive requests: those without a response get one, streams are aborted. */
@@ -401,11 +283,8 @@
         completion.terminateAll();
     }
 
+    /** Closes the connections of clients that wait for nothing. */
     public void closeIdleConnections() {
-        for (var client : List.copyOf(clients)) {
-            if (client.idle()) {
-                client.close();
-            }
-        }
+        clients.closeIdle();
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/StallDetector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/StallDetector.java
@@ -9,9 +9,9 @@
 
 /**
  * Finds replicas that have attempts in flight and are unresponsive. One that has said nothing for
- * longer than its load explains is suspected for a while, and its attempts are told. Shortly before
- * that the other edges of the zone are asked whether they hear it; while they do, it is given twice
- * the time. Runs on the reactor thread.
+ * longer than its load explains is suspected for a while, and its attempts are notified. Shortly
+ * before that the other edges of the zone are asked whether they hear it; while they do, it is
+ * given twice the time. Runs on the reactor thread.
  */
 final class StallDetector {
     /** How long before a replica is suspected the other edges are asked about it. */
--- a/edge/src/main/java/martenloom/edge/transport/ReplicaConnection.java
+++ b/edge/src/main/java/martenloom/edge/transport/ReplicaConnection.java
@@ -106,6 +106,7 @@
     /** When it last became idle; 0 for a new connection. */
     private long idleSinceUs;
 
+    /** A connection over an open socket, which may carry a request at once. */
     public ReplicaConnection(ITcpSocket tcpSocket, Owner owner) {
         this.owner = owner;
         socket = new SocketConnection(tcpSocket, MAX_BUFFERED_BYTES, this);
@@ -121,8 +122,8 @@
     }
 
     /**
-     * Whether its last request had this id: a second response to that one could not be told from
-     * one to the next.
+     * Whether its last request had this id: a second response to that one could not be
+     * distinguished from one to the next.
      */
     public boolean lastCarried(String id) {
         return !id.isEmpty() && requestId.equals(id);
@@ -215,30 +216,34 @@
     }
 
     private void beginResponse(MessageHead head) {
+        beginBody(head);
+        lastResponse = endsWithConnection || head.closesConnection();
+        reusableUntilUs = Clocks.nowUs() + keepAliveUs(head);
+        matchToRequest(head);
+        state = State.BODY;
+        if (!skipping) {
+            listener.get().onHead(head);
+        }
+        if (state == State.BODY && chunkedBody.isEmpty() && bytesLeft == 0 && !endsWithConnection) {
+            finishResponse();
+        }
+    }
+
+    private void beginBody(MessageHead head) {
         var bodiless = isBodiless(head.status());
         var length = bodiless ? 0 : head.bodyLength(HttpStatus.BAD_GATEWAY);
+        if (length > MAX_BODY_BYTES) {
+            throw new MalformedMessageException(HttpStatus.BAD_GATEWAY, "length");
+        }
         endsWithConnection =
                 !bodiless
                         && !head.has(HeaderField.TRANSFER_ENCODING)
                         && !head.has(HeaderField.CONTENT_LENGTH);
-        lastResponse = endsWithConnection || head.closesConnection();
-        reusableUntilUs = Clocks.nowUs() + keepAliveUs(head);
-        matchToRequest(head);
         chunkedBody =
                 length == MessageHead.CHUNKED
                         ? Optional.of(new ChunkedBodyReader(HttpStatus.BAD_GATEWAY))
                         : Optional.empty();
         bytesLeft = Math.max(0, length);
-        if (bytesLeft > MAX_BODY_BYTES) {
-            throw new MalformedMessageException(HttpStatus.BAD_GATEWAY, "length");
-        }
-        state = State.BODY;
-        if (!skipping) {
-            listener.get().onHead(head);
-        }
-        if (state == State.BODY && chunkedBody.isEmpty() && bytesLeft == 0 && !endsWithConnection) {
-            finishResponse();
-        }
     }
 
     private boolean isBodiless(int status) {
@@ -248,7 +253,7 @@
     /**
      * Finds out whether a response belongs to the request in flight or is to be passed over.
      *
-     * @throws MalformedMessageException if that cannot be told, or the connection is out of step
+     * @throws MalformedMessageException if that cannot be known, or the connection is out of step
      */
     private void matchToRequest(MessageHead head) {
         var hasId = head.has(HeaderField.ATTEMPT_ID);
@@ -365,7 +370,7 @@
         ended.ifPresent(complete ? ResponseListener::onConnectionEnd : ResponseListener::onBroken);
     }
 
-    /** Closes the connection; a request in flight is told that it broke. */
+    /** Closes the connection; the listener of a request in flight is notified. */
     public void close() {
         socket.close();
     }
--- a/edge/src/main/java/martenloom/edge/transport/ResponseListener.java
+++ b/edge/src/main/java/martenloom/edge/transport/ResponseListener.java
@@ -3,10 +3,10 @@
 import martenloom.edge.http.MessageHead;
 
 /**
- * Is told what comes of one request that was sent on a {@link ReplicaConnection}: {@link #onHead}
- * and any number of {@link #onBody}, then exactly one of {@link #onEnd}, {@link #onConnectionEnd}
- * and {@link #onBroken}; the last may also come at any time before. Nothing is told after {@link
- * ReplicaConnection#abandon}. Called on the reactor thread.
+ * Is notified of what comes of one request that was sent on a {@link ReplicaConnection}: {@link
+ * #onHead} and any number of {@link #onBody}, then exactly one of {@link #onEnd}, {@link
+ * #onConnectionEnd} and {@link #onBroken}; the last may also come at any time before. Nothing comes
+ * after {@link ReplicaConnection#abandon}. Called on the reactor thread.
  */
 public interface ResponseListener {
     void onHead(MessageHead head);
--- a/edge/src/main/java/martenloom/edge/transport/SocketConnection.java
+++ b/edge/src/main/java/martenloom/edge/transport/SocketConnection.java
@@ -11,11 +11,11 @@
 
 /**
  * A TCP connection with a buffer of the bytes that came and are not yet consumed. It reads on by
- * itself until the buffer is full or reading is paused, and tells its owner of bytes and of the
+ * itself until the buffer is full or reading is paused, and notifies its owner of bytes and of the
  * end. It is open until it is closed by either side, once and for good. Runs on the reactor thread.
  */
 public final class SocketConnection implements SocketReader.Owner {
-    /** Is told of bytes and of the end of a connection. */
+    /** Is notified of bytes and of the end of a connection. */
     public interface Owner {
         /** There are bytes in the buffer that were not there before. */
         void onBytes();
@@ -45,6 +45,7 @@
     private int position;
     private int limit;
 
+    /** A connection over an open socket; {@link #start} begins to read. */
     public SocketConnection(ITcpSocket socket, int maxBufferedBytes, Owner owner) {
         this.socket = socket;
         this.owner = owner;
@@ -182,7 +183,7 @@
         }
     }
 
-    /** Closes at once; the owner is told. */
+    /** Closes at once; the owner is notified. */
     public void close() {
         if (open) {
             open = false;
