--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptStarter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptStarter.java
@@ -42,7 +42,7 @@
 
     /** Counts a client's request, by which the retry budget of its service grows. */
     void onRequest(Request request, long nowUs) {
-        budget.request(request.service(), nowUs);
+        budget.onRequest(request.service(), nowUs);
     }
 
     /** Starts an attempt of a request; false if no replica or no budget is there for it now. */
@@ -52,7 +52,7 @@
             return false;
         }
         var retry = request.attemptsMade() > 0;
-        if (retry && !budget.spend(request.service(), cluster.edgeCount(), nowUs)) {
+        if (retry && !budget.trySpend(request.service(), cluster.edgeCount(), nowUs)) {
             return false;
         }
         if (retry) {
--- a/edge/src/main/java/martenloom/edge/dispatch/OverloadReduction.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/OverloadReduction.java
@@ -1,7 +1,7 @@
 package martenloom.edge.dispatch;
 
 import java.util.List;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReceiver;
 
 /**
  * Withholds from other regions the share of requests that their overload reports ask for. A request
@@ -9,10 +9,10 @@
  * for its first attempt. Runs on the reactor thread.
  */
 final class OverloadReduction {
-    private final Overload.Receiver reports;
+    private final OverloadReceiver reports;
     private long spilled;
 
-    OverloadReduction(Overload.Receiver reports) {
+    OverloadReduction(OverloadReceiver reports) {
         this.reports = reports;
     }
 
@@ -32,7 +32,7 @@
         if (withheldBy.contains(key)) {
             return true;
         }
-        if (request.attemptsMade() == 0 && reports.select(key, nowUs)) {
+        if (request.attemptsMade() == 0 && reports.selectNext(key, nowUs)) {
             withheldBy.add(key);
             return true;
         }
@@ -41,7 +41,7 @@
 
     /** A replica was chosen; what was withheld has gone elsewhere. */
     void onChosen(List<String> withheldBy, boolean remote) {
-        withheldBy.forEach(key -> reports.at(key).spilled++);
+        withheldBy.forEach(key -> reports.state(key).countSpilled());
         if (remote) {
             spilled++;
         }
@@ -50,7 +50,7 @@
     /** No replica was chosen; what was withheld waits, or is rejected later. */
     void onNothingChosen(Request request, List<String> withheldBy) {
         if (request.withheldBy().isEmpty()) {
-            withheldBy.forEach(key -> reports.at(key).held++);
+            withheldBy.forEach(key -> reports.state(key).countQueued());
         }
         request.setWithheldBy(withheldBy);
     }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
@@ -11,7 +11,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.edge.http.ErrorResponse;
 import martenloom.edge.http.HttpStatus;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReceiver;
 
 /**
  * The open requests, their deadlines and their ends. A request is ended exactly once: by a
@@ -35,14 +35,14 @@
 
     private final Eventloop loop;
     private final DispatchCounters counters;
-    private final Overload.Receiver overloadReports;
+    private final OverloadReceiver overloadReports;
     private final RoundRobinCounter roundRobin;
     private final Map<Request, Clocks.Timer> deadlines = new HashMap<>();
 
     RequestCompletion(
             Eventloop loop,
             DispatchCounters counters,
-            Overload.Receiver overloadReports,
+            OverloadReceiver overloadReports,
             RoundRobinCounter roundRobin) {
         this.loop = loop;
         this.counters = counters;
@@ -102,7 +102,7 @@
         }
         finish(request);
         counters.countRejected();
-        request.withheldBy().forEach(key -> overloadReports.at(key).refused++);
+        request.withheldBy().forEach(key -> overloadReports.state(key).countRejected());
         request.sink()
                 .respond(
                         ErrorResponse.head(HttpStatus.SERVICE_UNAVAILABLE, spreadOut(retryAfterS)),
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -10,7 +10,7 @@
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
 import martenloom.edge.http.MessageHead;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReceiver;
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
@@ -28,7 +28,7 @@
     private final Settings settings;
     private final ReplicaTable replicaTable;
     private final PrefixOwners prefixOwners = new PrefixOwners();
-    private final Overload.Receiver overloadReports = new Overload.Receiver();
+    private final OverloadReceiver overloadReports = new OverloadReceiver();
     private final DispatchCounters counters = new DispatchCounters();
     private final ShutdownAdmissionPolicy shutdownPolicy = new ShutdownAdmissionPolicy();
     private final OverloadReduction overload = new OverloadReduction(overloadReports);
@@ -81,7 +81,7 @@
     }
 
     /** The overload reports of other regions. */
-    public Overload.Receiver overloadReports() {
+    public OverloadReceiver overloadReports() {
         return overloadReports;
     }
 
