--- a/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
+import martenloom.edge.transport.ReplicaConnection;
 
 /**
  * What this edge knows of one incarnation of a replica: its registration, and in parts of their own
  * its load, speed, reachability, health, warm-up, prefix cache and connections. Runs on the reactor
  * thread.
  */
-public final class ReplicaEndpoint {
+public final class ReplicaEndpoint implements ReplicaConnection.Owner {
     private ReplicaRecord registration;
     private final String region;
     private final InetSocketAddress address;
@@ -225,28 +226,28 @@
         reachability.onSent(now);
     }
 
-    /** Bytes of the replica came. */
+    @Override
     public void onBytesReceived(long nowUs) {
         reachability.onHeard(nowUs);
     }
 
-    /** Whether further requests may go to the replica, so that idle connections are of use. */
+    @Override
     public boolean keepsIdleConnections() {
         return !registration.gone && !registration.draining;
     }
 
-    /** A connection has become idle and may carry another request. */
-    public void onIdle(PooledConnection connection) {
+    @Override
+    public void onIdle(ReplicaConnection connection) {
         connections.addIdle(connection);
     }
 
-    /** A connection was reset when it was used again after having been idle for so long. */
+    @Override
     public void onReuseFailed(long idleUs) {
         connections.onIdleReset(idleUs);
     }
 
-    /** A connection was closed. */
-    public void onClosed(PooledConnection connection) {
+    @Override
+    public void onClosed(ReplicaConnection connection) {
         connections.onClosed();
         connections.removeIdle(connection);
     }
