--- /dev/null
+++ b/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
@@ -0,0 +1,340 @@
+package martenloom.launcher.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import java.util.function.Predicate;
+import martenloom.common.codec.Codec;
+import martenloom.common.fleet.FleetRecords;
+import martenloom.common.settings.Settings;
+import martenloom.core.state.CoreState;
+import martenloom.launcher.harness.TestCluster;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * The recorded bytes of what a core daemon exchanges with an edge of its home and with another core
+ * daemon. A real daemon runs alone; a plain socket plays the other side. Times and random numbers
+ * are made equal before the bytes are compared.
+ */
+final class CoreRecordsGoldenTest {
+    private static final int NET = 58;
+    private static final String EDGE_IP = "127." + NET + ".2.40";
+    private static final String PEER_IP = "127." + NET + ".1.40";
+    private static final String HOLDER = EDGE_IP + "#2a";
+    private static final long STAMP_US = 5_000_000;
+    private static final String REPLICA = "t t t t 4 8 1? 8? 8 8?";
+    private static final String EDGE = "t t t t t 1 8 8 8 8?";
+
+    private static final String DIGESTS = "1" + " 4".repeat(FleetRecords.RANGES);
+    private static final byte[] SIGN_OF_LIFE = new Codec.Out(FleetRecords.HEARD).i32(0).bytes();
+
+    private final GoldenBytes golden = new GoldenBytes("core-records.txt");
+
+    @TempDir Path dir;
+
+    // ---- what the other side sends
+
+    private static byte[] renewal(long sequence, boolean leaving, List<String> duties) {
+        var edge = new FleetRecords.Edge();
+        edge.ip = EDGE_IP;
+        edge.name = "edge-plain";
+        edge.zone = "north-a";
+        edge.region = "north";
+        edge.front = EDGE_IP + ":8000";
+        edge.ready = !leaving;
+        edge.leaving = leaving;
+        edge.life = 42;
+        edge.seq = sequence;
+        edge.revision = 3;
+        var out = new Codec.Out(FleetRecords.RENEW);
+        edge.write(out, 0);
+        return out.i64(STAMP_US + sequence)
+                .text(HOLDER)
+                .texts(duties)
+                .texts(List.of("replica-1"))
+                .bytes();
+    }
+
+    private static byte[] edgeOrder(String act, String subject) {
+        return new Codec.Out(FleetRecords.EDGE_ASK)
+                .i64(11)
+                .i64(12)
+                .text(act)
+                .text(subject)
+                .i64(0)
+                .i64(0)
+                .text("")
+                .bytes();
+    }
+
+    private static byte[] order() {
+        var out = new Codec.Out(FleetRecords.ASK).i64(21).i64(22);
+        new CoreState.Change(CoreState.Act.READ, 0, "", "").write(out);
+        return out.bytes();
+    }
+
+    private static byte[] hello(String region, int mostEdges) {
+        return new Codec.Out(FleetRecords.HELLO)
+                .text(PEER_IP)
+                .text(region)
+                .i32(mostEdges)
+                .i64(STAMP_US)
+                .bytes();
+    }
+
+    private static byte[] confirmedFlood() {
+        var flood = new Codec.Out(FleetRecords.FLOOD).i64(STAMP_US).i32(0).i32(0).bytes();
+        return new Codec.Out(FleetRecords.FLOOD_CONFIRMED).i64(31).i64(32).blob(flood).bytes();
+    }
+
+    private static byte[] digestsThatDiffer() {
+        var out = new Codec.Out(FleetRecords.DIGEST);
+        for (var range = 0; range < FleetRecords.RANGES; range++) {
+            out.i32(123_456_789);
+        }
+        return out.bytes();
+    }
+
+    private static byte[] sample() {
+        return new Codec.Out(FleetRecords.SAMPLE)
+                .text(EDGE_IP)
+                .i64(42)
+                .i64(9)
+                .i32(1)
+                .i32(1)
+                .text("replica-1")
+                .i32(3)
+                .i32(400)
+                .u8(1)
+                .u8(0)
+                .i16(5)
+                .i16(2)
+                .i32(1)
+                .text("north/m")
+                .i32(6)
+                .i32(1)
+                .text("shared-part")
+                .text("replica-1")
+                .bytes();
+    }
+
+    private static byte[] report() {
+        return new Codec.Out(FleetRecords.REPORT)
+                .text("north")
+                .text("m")
+                .text(EDGE_IP)
+                .i64(1_000)
+                .i64(1)
+                .i64(2_000_000)
+                .text("loss")
+                .i32(35)
+                .bytes();
+    }
+
+    private static byte[] query() {
+        return new Codec.Out(FleetRecords.QUERY).text("no such query").bytes();
+    }
+
+    // ---- the checks
+
+    private void check(String name, byte[] record, String description) {
+        golden.check(name, RecordMask.masked(record, description));
+    }
+
+    private static int internalPort(TestCluster cluster) {
+        return Settings.parse(cluster.settingsText(0)).portLow;
+    }
+
+    private static void prepare(TestCluster cluster) {
+        assertEquals(
+                200,
+                cluster.order(
+                        "POST /configuration/replace", "0", TestCluster.configuration(3, "")));
+        assertEquals(200, cluster.order("POST /evacuations/south-b/start", "", ""));
+        assertEquals(200, cluster.order("POST /placements/west/m/unload", "", ""));
+        assertEquals(
+                200,
+                cluster.order(
+                        "POST /jobs/job-1/submit",
+                        "",
+                        "{\"Hostname\":\"cluster.example\",\"Path\":\"/safe/x\",\"DueMs\":600000,"
+                                + "\"Headers\":{\"X-Prompt-Prefix\":\"shared-part:9\"},"
+                                + "\"Body\":\"b\"}"));
+        assertEquals(
+                200,
+                cluster.operator(
+                                0,
+                                "POST /instances/replica-1/heartbeat",
+                                "",
+                                "{\"Backend\":\"model\",\"Address\":\"127.58.3.40:9000\","
+                                        + "\"Zone\":\"north-a\",\"Capacity\":8,\"Sequence\":5}")
+                        .status);
+    }
+
+    @Test
+    void anEdgeIsAnsweredAsRecorded() throws IOException {
+        try (var cluster = new TestCluster(dir, NET, 1)) {
+            prepare(cluster);
+            var port = internalPort(cluster);
+            try (var peer = PlainPeer.connect(PEER_IP, cluster.core(0), port);
+                    var edge = PlainPeer.connect(EDGE_IP, cluster.core(0), port)) {
+                golden.check("from-core.hello-of-many-edges", hello("south", 100));
+                peer.send(golden.bytes("from-core.hello-of-many-edges"));
+                peer.next(FleetRecords.HEARD);
+                golden.check("from-edge.renewal", renewal(1, false, List.of("jobs/north")));
+                edge.send(golden.bytes("from-edge.renewal"));
+                check(
+                        "to-edge.replicas",
+                        edge.next(FleetRecords.REPLICAS),
+                        "1 1 ( " + REPLICA + " )");
+                check(
+                        "to-edge.configuration",
+                        edge.next(FleetRecords.CONFIGURATION),
+                        "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
+                check(
+                        "to-edge.news",
+                        edge.next(FleetRecords.NEWS),
+                        "1 8 8? 8? 8? 4? 4 4 ( t ) 1 8 ( t 4 )");
+                check("to-edge.grant", edge.next(FleetRecords.DUTY_GRANT), "1 t t 8? 8 8");
+                edge.send(renewal(2, false, List.of("jobs/north")));
+                check("to-edge.jobs", edge.next(FleetRecords.JOBS), "1 ( t 1 8 4 8? 8 t t )");
+
+                golden.check("from-edge.sample", sample());
+                edge.send(golden.bytes("from-edge.sample"));
+                check(
+                        "to-edge.whole-sum",
+                        sumOfSample(edge),
+                        "1 8 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t ) 4 ( t 4 4 1 1 4 ) ( t 4 )");
+
+                golden.check("from-edge.report", report());
+                edge.send(golden.bytes("from-edge.report"));
+                assertTrue(
+                        Arrays.equals(report(), edge.next(FleetRecords.REPORT)),
+                        "a report is passed on as it came");
+
+                golden.check("from-edge.order", edgeOrder("REPLACE", "x"));
+                edge.send(golden.bytes("from-edge.order"));
+                check("to-edge.order-refused", edge.next(FleetRecords.ANSWER), "1 8 8 4 t");
+                golden.check("from-edge.job-start", edgeOrder("JOB_START", "job-unknown"));
+                edge.send(golden.bytes("from-edge.job-start"));
+                check("to-edge.job-refused", edge.next(FleetRecords.ANSWER), "1 8 8 4 t");
+
+                assertEquals(200, cluster.order("POST /evacuations/south-b/finish", "", ""));
+                check(
+                        "to-edge.configuration-without-text",
+                        configuration(edge, record -> !contains(record, "south-b")),
+                        "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
+                edge.send(new Codec.Out(FleetRecords.RESYNC).bytes());
+                check(
+                        "to-edge.configuration-after-evacuation",
+                        configuration(edge, record -> contains(record, "revision")),
+                        "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
+                check(
+                        "to-edge.replicas",
+                        edge.next(FleetRecords.REPLICAS),
+                        "1 1 ( " + REPLICA + " )");
+
+                golden.check("query", query());
+                edge.send(golden.bytes("query"));
+                check("text", edge.next(FleetRecords.TEXT), "1 t");
+            }
+        }
+    }
+
+    /** The next configuration of that kind; committed changes bring others at any time. */
+    private static byte[] configuration(PlainPeer edge, Predicate<byte[]> sought)
+            throws IOException {
+        var record = edge.next(FleetRecords.CONFIGURATION);
+        while (!sought.test(record)) {
+            record = edge.next(FleetRecords.CONFIGURATION);
+        }
+        return record;
+    }
+
+    private static boolean contains(byte[] record, String text) {
+        return new String(record, StandardCharsets.ISO_8859_1).contains(text);
+    }
+
+    /** The first sum that names the sample; sums of nothing may come before it. */
+    private static byte[] sumOfSample(PlainPeer edge) throws IOException {
+        var sum = edge.next(FleetRecords.WHOLE_SUM);
+        while (new Codec.In(sum, true).i64() != 9) {
+            sum = edge.next(FleetRecords.WHOLE_SUM);
+        }
+        return sum;
+    }
+
+    @Test
+    void anotherCoreDaemonIsAnsweredAsRecorded() throws IOException {
+        try (var cluster = new TestCluster(dir, NET + 1, 1)) {
+            prepare(cluster);
+            var port = internalPort(cluster);
+            try (var server = new ServerSocket(port, 5, InetAddress.getByName(PEER_IP));
+                    var peer = PlainPeer.connect(PEER_IP, cluster.core(0), port);
+                    var edge = PlainPeer.connect(EDGE_IP, cluster.core(0), port)) {
+                server.setSoTimeout(20_000);
+                golden.check("from-core.hello", hello("north", 7));
+                peer.send(golden.bytes("from-core.hello"));
+                check("to-core.heard", peer.next(FleetRecords.HEARD), "1 ( t )");
+                try (var dialed = new PlainPeer(server.accept())) {
+                    check("to-core.hello", dialed.next(FleetRecords.HELLO), "1 t t 4 8?");
+                    dialed.send(SIGN_OF_LIFE);
+                    edge.send(renewal(1, false, List.of()));
+                    floodOfEdge(dialed);
+                    edge.send(renewal(2, true, List.of()));
+                    check(
+                            "to-core.flood",
+                            floodOfEdge(dialed),
+                            "1 8? ( " + REPLICA + " ) ( " + EDGE + " )");
+                    dialed.send(SIGN_OF_LIFE);
+                    edge.send(sample());
+                    check(
+                            "to-core.home-sum",
+                            sumOfHome(dialed),
+                            "1 t 8? 8? 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t )");
+                    check("to-core.digests", dialed.next(FleetRecords.DIGEST), DIGESTS);
+
+                    dialed.send(SIGN_OF_LIFE);
+                    golden.check("from-core.digests", digestsThatDiffer());
+                    peer.send(golden.bytes("from-core.digests"));
+                    check(
+                            "to-core.mending-flood",
+                            floodOfEdge(dialed),
+                            "1 8? ( " + REPLICA + " ) ( " + EDGE + " )");
+                }
+                golden.check("from-core.order", order());
+                peer.send(golden.bytes("from-core.order"));
+                check("to-core.answer", peer.next(FleetRecords.ANSWER), "1 8 8 4 t");
+                golden.check("from-core.confirmed-flood", confirmedFlood());
+                peer.send(golden.bytes("from-core.confirmed-flood"));
+                check("to-core.confirmation", peer.next(FleetRecords.ANSWER), "1 8 8 4 t");
+            }
+        }
+    }
+
+    /** The next flood that has the row of the edge. */
+    private static byte[] floodOfEdge(PlainPeer peer) throws IOException {
+        var flood = peer.next(FleetRecords.FLOOD);
+        while (!contains(flood, EDGE_IP)) {
+            flood = peer.next(FleetRecords.FLOOD);
+        }
+        return flood;
+    }
+
+    /** The next sum of this home that counts the edge. */
+    private static byte[] sumOfHome(PlainPeer peer) throws IOException {
+        var sum = peer.next(FleetRecords.HOME_SUM);
+        while (!contains(sum, "north/m")) {
+            sum = peer.next(FleetRecords.HOME_SUM);
+        }
+        return sum;
+    }
+}
--- /dev/null
+++ b/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
@@ -0,0 +1,262 @@
+package martenloom.launcher.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.fail;
+
+import io.activej.eventloop.Eventloop;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.util.Base64;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import martenloom.common.clock.Clocks;
+import martenloom.common.codec.Codec;
+import martenloom.common.fleet.FleetRecords;
+import martenloom.common.jobs.Job;
+import martenloom.common.settings.Settings;
+import martenloom.edge.EdgeDaemon;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The recorded bytes of what an edge sends to its home: renewals, load, the wish for the whole
+ * state, and the orders of the runner of jobs. A real edge runs alone; a plain socket plays its
+ * home with records as a core daemon was recorded to send them.
+ */
+final class EdgeRecordsGoldenTest {
+    private static final String HOME_IP = "127.60.1.10";
+    private static final String EDGE_IP = "127.60.2.10";
+    private static final int MOST_RECORDS = 200;
+    private static final String RENEWAL = "1 t t t t p 1 8? 8? 8 8? 8? t? ( t ) ( t )";
+    private static final String ORDER = "1 8? 8 t t 8 8 t";
+
+    private final GoldenBytes golden = new GoldenBytes("edge-records.txt");
+    private final GoldenBytes ofCore = new GoldenBytes("core-records.txt");
+    private final Eventloop loop = Clocks.reactor("golden-edge");
+
+    @AfterEach
+    void endTheEdge() {
+        loop.execute(
+                () -> {
+                    for (var key : List.copyOf(loop.getSelector().keys())) {
+                        try {
+                            key.channel().close();
+                        } catch (IOException e) {
+                            continue;
+                        }
+                    }
+                    loop.keepAlive(false);
+                    loop.breakEventloop();
+                });
+    }
+
+    private static String settingsText(int port) {
+        return """
+        NodeName = "edge-plain"
+        IpAddress = "%1$s"
+        Zone = "north-a"
+        Region = "north"
+        InternalPortRange = [%3$d, %3$d]
+        SeedNodes = ["%2$s:8166"]
+        Serves = ["edge"]
+        HeartbeatIntervalMs = 300
+        [Zones]
+        north-a = "north"
+        south-b = "south"
+        west-c = "west"
+        [ListenAddresses]
+        Frontend = "127.60.3.10:%3$d"
+        Readiness = "127.60.4.10:%3$d"
+        """
+                .formatted(EDGE_IP, HOME_IP, port);
+    }
+
+    private void startEdge(int port) {
+        var started = new CompletableFuture<Boolean>();
+        loop.keepAlive(true);
+        loop.execute(
+                () -> {
+                    try {
+                        new EdgeDaemon(Settings.parse(settingsText(port)), loop).start();
+                        started.complete(true);
+                    } catch (IOException e) {
+                        started.completeExceptionally(e);
+                    }
+                });
+        var thread = new Thread(loop::run, "golden-edge");
+        thread.setDaemon(true);
+        thread.start();
+        started.join();
+    }
+
+    // ---- what the home sends
+
+    /** News that answer a renewal; the digest is not the edge's, so it asks for the whole state. */
+    private static byte[] news(long stampUs, boolean jobsLive) {
+        return new Codec.Out(FleetRecords.NEWS)
+                .i64(stampUs)
+                .i64(10_000_000)
+                .i64(0)
+                .i64(2)
+                .i32(123)
+                .i32(1)
+                .i32(1)
+                .texts(List.of(HOME_IP))
+                .flag(jobsLive)
+                .i64(1_600_000)
+                .i32(0)
+                .bytes();
+    }
+
+    /** The recorded configuration of a core daemon, with an edition in its masked field. */
+    private byte[] configuration() {
+        var record = ofCore.bytes("to-edge.configuration").clone();
+        record[8] = 2;
+        return record;
+    }
+
+    private static byte[] grant(Renewal renewal, String duty) {
+        return new Codec.Out(FleetRecords.DUTY_GRANT)
+                .text(renewal.holder)
+                .text(duty)
+                .i64(7)
+                .i64(renewal.stampUs)
+                .i64(2_500_000)
+                .bytes();
+    }
+
+    private static byte[] answer(byte[] order, int status, String text) {
+        var id = new Codec.In(order, true);
+        return new Codec.Out(FleetRecords.ANSWER)
+                .i64(id.i64())
+                .i64(id.i64())
+                .i32(status)
+                .text(text)
+                .bytes();
+    }
+
+    /** One waiting job on a route whose service has a replica, though nothing listens there. */
+    private static byte[] waitingJobs() {
+        return new Codec.Out(FleetRecords.JOBS)
+                .i32(1)
+                .text("job-1")
+                .flag(false)
+                .i64(0)
+                .i32(0)
+                .i64(600_000_000)
+                .i64(600_000_000)
+                .text("")
+                .text("streamr")
+                .bytes();
+    }
+
+    /** A job whose route has no replica, so that its run is soon given back. */
+    private static String startedJob() {
+        var job = new Job();
+        job.id = "job-1";
+        job.region = "north";
+        job.host = "cluster.example";
+        job.path = "/safe/x";
+        job.body = "b".getBytes(StandardCharsets.UTF_8);
+        job.state = Job.State.RUNNING;
+        job.fence = 7;
+        job.runs = 1;
+        var out = new Codec.Out();
+        job.write(out);
+        return Base64.getEncoder().encodeToString(out.bytes());
+    }
+
+    /** What the home needs of a renewal to answer it. */
+    private record Renewal(boolean ready, long stampUs, String holder, List<String> duties) {
+        static Renewal read(byte[] record) {
+            var in = new Codec.In(record, true);
+            var edge = FleetRecords.Edge.read(in, 0);
+            return new Renewal(edge.ready, in.i64(), in.text(), in.texts());
+        }
+    }
+
+    // ---- the checks
+
+    private void check(String name, byte[] record, String description) {
+        golden.check(name, RecordMask.masked(record, description));
+    }
+
+    @Test
+    void anEdgeSpeaksToItsHomeAsRecorded() throws IOException {
+        try (var server = new ServerSocket(0, 5, InetAddress.getByName(HOME_IP))) {
+            server.setSoTimeout(20_000);
+            startEdge(server.getLocalPort());
+            try (var home = new PlainPeer(server.accept())) {
+                check("renewal.first", home.next(FleetRecords.RENEW), RENEWAL);
+                home.send(configuration());
+                home.send(ofCore.bytes("to-edge.replicas"));
+                check(
+                        "sample",
+                        home.next(FleetRecords.SAMPLE),
+                        "1 t 8? 8? 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t )");
+                check("resync", answerUntil(home, FleetRecords.RESYNC, false), "1");
+                var renewal = readyRenewal(home);
+                check("renewal.ready", renewal, RENEWAL);
+                runJob(home, Renewal.read(renewal));
+                home.send(new Codec.Out(FleetRecords.QUERY).text("no such query").bytes());
+                check("text", home.next(FleetRecords.TEXT), "1 t");
+                home.send(ofCore.bytes("from-core.hello"));
+                check("heard", home.next(FleetRecords.HEARD), "1");
+            }
+        }
+    }
+
+    /** Runs a job as far as its start and its return, which are all that the home is told. */
+    private void runJob(PlainPeer home, Renewal renewal) throws IOException {
+        assertTrue(renewal.duties.contains("jobs/north"), renewal.toString());
+        home.send(grant(renewal, "jobs/north"));
+        home.send(waitingJobs());
+        var start = answerUntil(home, FleetRecords.EDGE_ASK, true);
+        check("order.job-start", start, ORDER);
+        home.send(answer(start, 200, startedJob()));
+        var back = answerUntil(home, FleetRecords.EDGE_ASK, true);
+        check("order.job-back", back, ORDER);
+        assertEquals(7, orderFence(back));
+    }
+
+    private static long orderFence(byte[] order) {
+        var in = new Codec.In(order, true);
+        in.i64();
+        in.i64();
+        in.text();
+        in.text();
+        return in.i64();
+    }
+
+    private byte[] readyRenewal(PlainPeer home) throws IOException {
+        for (var renewals = 0; renewals < MOST_RECORDS; renewals++) {
+            var record = answerUntil(home, FleetRecords.RENEW, true);
+            var renewal = Renewal.read(record);
+            home.send(news(renewal.stampUs, true));
+            if (renewal.ready && renewal.duties.contains("jobs/north")) {
+                return record;
+            }
+        }
+        return fail("the edge is not ready or does not want to run jobs");
+    }
+
+    /** Answers renewals until a record of this type comes. */
+    private static byte[] answerUntil(PlainPeer home, int type, boolean jobsLive)
+            throws IOException {
+        for (var records = 0; records < MOST_RECORDS; records++) {
+            var record = home.next();
+            if (record[0] == type) {
+                return record;
+            }
+            if (record[0] == FleetRecords.RENEW) {
+                var renewal = Renewal.read(record);
+                home.send(news(renewal.stampUs, jobsLive));
+                home.send(grant(renewal, "jobs/north"));
+            }
+        }
+        return fail("no record of type " + type);
+    }
+}
