--- a/common/src/test/java/martenloom/common/settings/SettingsGoldenTest.java
+++ b/common/src/test/java/martenloom/common/settings/SettingsGoldenTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import martenloom.common.error.Fault;
+import martenloom.common.error.MartenloomException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -77,7 +77,7 @@
             """;
 
     private static String fault(String text) {
-        return assertThrows(Fault.class, () -> Settings.parse(text)).getMessage();
+        return assertThrows(MartenloomException.class, () -> Settings.parse(text)).getMessage();
     }
 
     @Test
@@ -201,15 +201,18 @@
                 fault("NodeName = \n"));
         assertEquals(
                 "SETTINGS at read settings with here: MARTENLOOM_NODE_FILE is not set",
-                assertThrows(Fault.class, () -> Settings.load(" ")).getMessage());
+                assertThrows(MartenloomException.class, () -> Settings.load(" ")).getMessage());
         assertEquals(
                 "SETTINGS at read settings with here: no-such-file.toml cannot be read"
                         + " (NoSuchFileException)",
-                assertThrows(Fault.class, () -> Settings.load("no-such-file.toml")).getMessage());
+                assertThrows(MartenloomException.class, () -> Settings.load("no-such-file.toml"))
+                        .getMessage());
         assertEquals(
                 "SETTINGS at check settings with here: ListenAddresses.ControlPlane: missing, and"
                         + " this role needs it",
-                assertThrows(Fault.class, () -> Settings.parse(LEAST_SETTINGS).need("ControlPlane"))
+                assertThrows(
+                                MartenloomException.class,
+                                () -> Settings.parse(LEAST_SETTINGS).need("ControlPlane"))
                         .getMessage());
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
@@ -11,10 +11,12 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Predicate;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.DigestRanges;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.settings.Settings;
-import martenloom.core.state.CoreState;
 import martenloom.launcher.harness.TestCluster;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -25,6 +27,8 @@
  * are made equal before the bytes are compared.
  */
 final class CoreRecordsGoldenTest {
+    private static final int READ_CONFIGURATION = 6;
+    private static final long NOT_ACCEPTED = -1;
     private static final int NET = 58;
     private static final String EDGE_IP = "127." + NET + ".2.40";
     private static final String PEER_IP = "127." + NET + ".1.40";
@@ -33,8 +37,9 @@
     private static final String REPLICA = "t t t t 4 8 1? 8? 8 8?";
     private static final String EDGE = "t t t t t 1 8 8 8 8?";
 
-    private static final String DIGESTS = "1" + " 4".repeat(FleetRecords.RANGES);
-    private static final byte[] SIGN_OF_LIFE = new Codec.Out(FleetRecords.HEARD).i32(0).bytes();
+    private static final String DIGESTS = "1" + " 4".repeat(DigestRanges.COUNT);
+    private static final byte[] SIGN_OF_LIFE =
+            new RecordWriter(RecordType.KNOWN_PEERS).i32(0).bytes();
 
     private final GoldenBytes golden = new GoldenBytes("core-records.txt");
 
@@ -43,7 +48,7 @@
     // ---- what the other side sends
 
     private static byte[] renewal(long sequence, boolean leaving, List<String> duties) {
-        var edge = new FleetRecords.Edge();
+        var edge = new EdgeRecord();
         edge.ip = EDGE_IP;
         edge.name = "edge-plain";
         edge.zone = "north-a";
@@ -54,7 +59,7 @@
         edge.life = 42;
         edge.seq = sequence;
         edge.revision = 3;
-        var out = new Codec.Out(FleetRecords.RENEW);
+        var out = new RecordWriter(RecordType.EDGE_LEASE_RENEWAL);
         edge.write(out, 0);
         return out.i64(STAMP_US + sequence)
                 .text(HOLDER)
@@ -64,7 +69,7 @@
     }
 
     private static byte[] edgeOrder(String act, String subject) {
-        return new Codec.Out(FleetRecords.EDGE_ASK)
+        return new RecordWriter(RecordType.EDGE_REQUEST)
                 .i64(11)
                 .i64(12)
                 .text(act)
@@ -75,14 +80,23 @@
                 .bytes();
     }
 
+    /** An order to read the configuration, field by field as it travels. */
     private static byte[] order() {
-        var out = new Codec.Out(FleetRecords.ASK).i64(21).i64(22);
-        new CoreState.Change(CoreState.Act.READ, 0, "", "").write(out);
-        return out.bytes();
+        return new RecordWriter(RecordType.ORDER_REQUEST)
+                .i64(21)
+                .i64(22)
+                .u8(READ_CONFIGURATION)
+                .i64(0)
+                .text("")
+                .text("")
+                .i64(0)
+                .text("")
+                .i64(NOT_ACCEPTED)
+                .bytes();
     }
 
     private static byte[] hello(String region, int mostEdges) {
-        return new Codec.Out(FleetRecords.HELLO)
+        return new RecordWriter(RecordType.HELLO)
                 .text(PEER_IP)
                 .text(region)
                 .i32(mostEdges)
@@ -91,20 +105,25 @@
     }
 
     private static byte[] confirmedFlood() {
-        var flood = new Codec.Out(FleetRecords.FLOOD).i64(STAMP_US).i32(0).i32(0).bytes();
-        return new Codec.Out(FleetRecords.FLOOD_CONFIRMED).i64(31).i64(32).blob(flood).bytes();
+        var flood =
+                new RecordWriter(RecordType.REGISTRY_UPDATE).i64(STAMP_US).i32(0).i32(0).bytes();
+        return new RecordWriter(RecordType.CONFIRMED_REGISTRY_UPDATE)
+                .i64(31)
+                .i64(32)
+                .blob(flood)
+                .bytes();
     }
 
     private static byte[] digestsThatDiffer() {
-        var out = new Codec.Out(FleetRecords.DIGEST);
-        for (var range = 0; range < FleetRecords.RANGES; range++) {
+        var out = new RecordWriter(RecordType.REGISTRY_DIGEST);
+        for (var range = 0; range < DigestRanges.COUNT; range++) {
             out.i32(123_456_789);
         }
         return out.bytes();
     }
 
     private static byte[] sample() {
-        return new Codec.Out(FleetRecords.SAMPLE)
+        return new RecordWriter(RecordType.LOAD_SAMPLE)
                 .text(EDGE_IP)
                 .i64(42)
                 .i64(9)
@@ -127,7 +146,7 @@
     }
 
     private static byte[] report() {
-        return new Codec.Out(FleetRecords.REPORT)
+        return new RecordWriter(RecordType.OVERLOAD_REPORT)
                 .text("north")
                 .text("m")
                 .text(EDGE_IP)
@@ -140,7 +159,7 @@
     }
 
     private static byte[] query() {
-        return new Codec.Out(FleetRecords.QUERY).text("no such query").bytes();
+        return new RecordWriter(RecordType.SHELL_QUERY).text("no such query").bytes();
     }
 
     // ---- the checks
@@ -188,24 +207,24 @@
                     var edge = PlainPeer.connect(EDGE_IP, cluster.core(0), port)) {
                 golden.check("from-core.hello-of-many-edges", hello("south", 100));
                 peer.send(golden.bytes("from-core.hello-of-many-edges"));
-                peer.next(FleetRecords.HEARD);
+                peer.next(RecordType.KNOWN_PEERS);
                 golden.check("from-edge.renewal", renewal(1, false, List.of("jobs/north")));
                 edge.send(golden.bytes("from-edge.renewal"));
                 check(
                         "to-edge.replicas",
-                        edge.next(FleetRecords.REPLICAS),
+                        edge.next(RecordType.REPLICA_UPDATE),
                         "1 1 ( " + REPLICA + " )");
                 check(
                         "to-edge.configuration",
-                        edge.next(FleetRecords.CONFIGURATION),
+                        edge.next(RecordType.CONFIGURATION),
                         "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
                 check(
                         "to-edge.news",
-                        edge.next(FleetRecords.NEWS),
+                        edge.next(RecordType.EDGE_LEASE_RESPONSE),
                         "1 8 8? 8? 8? 4? 4 4 ( t ) 1 8 ( t 4 )");
-                check("to-edge.grant", edge.next(FleetRecords.DUTY_GRANT), "1 t t 8? 8 8");
+                check("to-edge.grant", edge.next(RecordType.LEASE_GRANT), "1 t t 8? 8 8");
                 edge.send(renewal(2, false, List.of("jobs/north")));
-                check("to-edge.jobs", edge.next(FleetRecords.JOBS), "1 ( t 1 8 4 8? 8 t t )");
+                check("to-edge.jobs", edge.next(RecordType.JOB_LIST), "1 ( t 1 8 4 8? 8 t t )");
 
                 golden.check("from-edge.sample", sample());
                 edge.send(golden.bytes("from-edge.sample"));
@@ -217,34 +236,34 @@
                 golden.check("from-edge.report", report());
                 edge.send(golden.bytes("from-edge.report"));
                 assertTrue(
-                        Arrays.equals(report(), edge.next(FleetRecords.REPORT)),
+                        Arrays.equals(report(), edge.next(RecordType.OVERLOAD_REPORT)),
                         "a report is passed on as it came");
 
                 golden.check("from-edge.order", edgeOrder("REPLACE", "x"));
                 edge.send(golden.bytes("from-edge.order"));
-                check("to-edge.order-refused", edge.next(FleetRecords.ANSWER), "1 8 8 4 t");
+                check("to-edge.order-refused", edge.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
                 golden.check("from-edge.job-start", edgeOrder("JOB_START", "job-unknown"));
                 edge.send(golden.bytes("from-edge.job-start"));
-                check("to-edge.job-refused", edge.next(FleetRecords.ANSWER), "1 8 8 4 t");
+                check("to-edge.job-refused", edge.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
 
                 assertEquals(200, cluster.order("POST /evacuations/south-b/finish", "", ""));
                 check(
                         "to-edge.configuration-without-text",
                         configuration(edge, record -> !contains(record, "south-b")),
                         "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
-                edge.send(new Codec.Out(FleetRecords.RESYNC).bytes());
+                edge.send(new RecordWriter(RecordType.RESYNC_REQUEST).bytes());
                 check(
                         "to-edge.configuration-after-evacuation",
                         configuration(edge, record -> contains(record, "revision")),
                         "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
                 check(
                         "to-edge.replicas",
-                        edge.next(FleetRecords.REPLICAS),
+                        edge.next(RecordType.REPLICA_UPDATE),
                         "1 1 ( " + REPLICA + " )");
 
                 golden.check("query", query());
                 edge.send(golden.bytes("query"));
-                check("text", edge.next(FleetRecords.TEXT), "1 t");
+                check("text", edge.next(RecordType.SHELL_RESPONSE), "1 t");
             }
         }
     }
@@ -252,9 +271,9 @@
     /** The next configuration of that kind; committed changes bring others at any time. */
     private static byte[] configuration(PlainPeer edge, Predicate<byte[]> sought)
             throws IOException {
-        var record = edge.next(FleetRecords.CONFIGURATION);
+        var record = edge.next(RecordType.CONFIGURATION);
         while (!sought.test(record)) {
-            record = edge.next(FleetRecords.CONFIGURATION);
+            record = edge.next(RecordType.CONFIGURATION);
         }
         return record;
     }
@@ -265,9 +284,9 @@
 
     /** The first sum that names the sample; sums of nothing may come before it. */
     private static byte[] sumOfSample(PlainPeer edge) throws IOException {
-        var sum = edge.next(FleetRecords.WHOLE_SUM);
-        while (new Codec.In(sum, true).i64() != 9) {
-            sum = edge.next(FleetRecords.WHOLE_SUM);
+        var sum = edge.next(RecordType.TOTAL_LOAD);
+        while (new RecordReader(sum, true).i64() != 9) {
+            sum = edge.next(RecordType.TOTAL_LOAD);
         }
         return sum;
     }
@@ -283,9 +302,9 @@
                 server.setSoTimeout(20_000);
                 golden.check("from-core.hello", hello("north", 7));
                 peer.send(golden.bytes("from-core.hello"));
-                check("to-core.heard", peer.next(FleetRecords.HEARD), "1 ( t )");
+                check("to-core.heard", peer.next(RecordType.KNOWN_PEERS), "1 ( t )");
                 try (var dialed = new PlainPeer(server.accept())) {
-                    check("to-core.hello", dialed.next(FleetRecords.HELLO), "1 t t 4 8?");
+                    check("to-core.hello", dialed.next(RecordType.HELLO), "1 t t 4 8?");
                     dialed.send(SIGN_OF_LIFE);
                     edge.send(renewal(1, false, List.of()));
                     floodOfEdge(dialed);
@@ -300,7 +319,7 @@
                             "to-core.home-sum",
                             sumOfHome(dialed),
                             "1 t 8? 8? 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t )");
-                    check("to-core.digests", dialed.next(FleetRecords.DIGEST), DIGESTS);
+                    check("to-core.digests", dialed.next(RecordType.REGISTRY_DIGEST), DIGESTS);
 
                     dialed.send(SIGN_OF_LIFE);
                     golden.check("from-core.digests", digestsThatDiffer());
@@ -312,28 +331,28 @@
                 }
                 golden.check("from-core.order", order());
                 peer.send(golden.bytes("from-core.order"));
-                check("to-core.answer", peer.next(FleetRecords.ANSWER), "1 8 8 4 t");
+                check("to-core.answer", peer.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
                 golden.check("from-core.confirmed-flood", confirmedFlood());
                 peer.send(golden.bytes("from-core.confirmed-flood"));
-                check("to-core.confirmation", peer.next(FleetRecords.ANSWER), "1 8 8 4 t");
+                check("to-core.confirmation", peer.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
             }
         }
     }
 
     /** The next flood that has the row of the edge. */
     private static byte[] floodOfEdge(PlainPeer peer) throws IOException {
-        var flood = peer.next(FleetRecords.FLOOD);
+        var flood = peer.next(RecordType.REGISTRY_UPDATE);
         while (!contains(flood, EDGE_IP)) {
-            flood = peer.next(FleetRecords.FLOOD);
+            flood = peer.next(RecordType.REGISTRY_UPDATE);
         }
         return flood;
     }
 
     /** The next sum of this home that counts the edge. */
     private static byte[] sumOfHome(PlainPeer peer) throws IOException {
-        var sum = peer.next(FleetRecords.HOME_SUM);
+        var sum = peer.next(RecordType.HOME_LOAD);
         while (!contains(sum, "north/m")) {
-            sum = peer.next(FleetRecords.HOME_SUM);
+            sum = peer.next(RecordType.HOME_LOAD);
         }
         return sum;
     }
--- a/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
@@ -13,8 +13,10 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import martenloom.common.clock.Clocks;
-import martenloom.common.codec.Codec;
-import martenloom.common.fleet.FleetRecords;
+import martenloom.common.codec.RecordReader;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.RecordType;
 import martenloom.common.jobs.Job;
 import martenloom.common.settings.Settings;
 import martenloom.edge.EdgeDaemon;
@@ -96,7 +98,7 @@
 
     /** News that answer a renewal; the digest is not the edge's, so it asks for the whole state. */
     private static byte[] news(long stampUs, boolean jobsLive) {
-        return new Codec.Out(FleetRecords.NEWS)
+        return new RecordWriter(RecordType.EDGE_LEASE_RESPONSE)
                 .i64(stampUs)
                 .i64(10_000_000)
                 .i64(0)
@@ -119,7 +121,7 @@
     }
 
     private static byte[] grant(Renewal renewal, String duty) {
-        return new Codec.Out(FleetRecords.DUTY_GRANT)
+        return new RecordWriter(RecordType.LEASE_GRANT)
                 .text(renewal.holder)
                 .text(duty)
                 .i64(7)
@@ -129,8 +131,8 @@
     }
 
     private static byte[] answer(byte[] order, int status, String text) {
-        var id = new Codec.In(order, true);
-        return new Codec.Out(FleetRecords.ANSWER)
+        var id = new RecordReader(order, true);
+        return new RecordWriter(RecordType.ORDER_RESPONSE)
                 .i64(id.i64())
                 .i64(id.i64())
                 .i32(status)
@@ -140,7 +142,7 @@
 
     /** One waiting job on a route whose service has a replica, though nothing listens there. */
     private static byte[] waitingJobs() {
-        return new Codec.Out(FleetRecords.JOBS)
+        return new RecordWriter(RecordType.JOB_LIST)
                 .i32(1)
                 .text("job-1")
                 .flag(false)
@@ -164,7 +166,7 @@
         job.state = Job.State.RUNNING;
         job.fence = 7;
         job.runs = 1;
-        var out = new Codec.Out();
+        var out = new RecordWriter();
         job.write(out);
         return Base64.getEncoder().encodeToString(out.bytes());
     }
@@ -172,8 +174,8 @@
     /** What the home needs of a renewal to answer it. */
     private record Renewal(boolean ready, long stampUs, String holder, List<String> duties) {
         static Renewal read(byte[] record) {
-            var in = new Codec.In(record, true);
-            var edge = FleetRecords.Edge.read(in, 0);
+            var in = new RecordReader(record, true);
+            var edge = EdgeRecord.read(in, 0);
             return new Renewal(edge.ready, in.i64(), in.text(), in.texts());
         }
     }
@@ -190,21 +192,21 @@
             server.setSoTimeout(20_000);
             startEdge(server.getLocalPort());
             try (var home = new PlainPeer(server.accept())) {
-                check("renewal.first", home.next(FleetRecords.RENEW), RENEWAL);
+                check("renewal.first", home.next(RecordType.EDGE_LEASE_RENEWAL), RENEWAL);
                 home.send(configuration());
                 home.send(ofCore.bytes("to-edge.replicas"));
                 check(
                         "sample",
-                        home.next(FleetRecords.SAMPLE),
+                        home.next(RecordType.LOAD_SAMPLE),
                         "1 t 8? 8? 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t )");
-                check("resync", answerUntil(home, FleetRecords.RESYNC, false), "1");
+                check("resync", answerUntil(home, RecordType.RESYNC_REQUEST, false), "1");
                 var renewal = readyRenewal(home);
                 check("renewal.ready", renewal, RENEWAL);
                 runJob(home, Renewal.read(renewal));
-                home.send(new Codec.Out(FleetRecords.QUERY).text("no such query").bytes());
-                check("text", home.next(FleetRecords.TEXT), "1 t");
+                home.send(new RecordWriter(RecordType.SHELL_QUERY).text("no such query").bytes());
+                check("text", home.next(RecordType.SHELL_RESPONSE), "1 t");
                 home.send(ofCore.bytes("from-core.hello"));
-                check("heard", home.next(FleetRecords.HEARD), "1");
+                check("heard", home.next(RecordType.KNOWN_PEERS), "1");
             }
         }
     }
@@ -214,16 +216,16 @@
         assertTrue(renewal.duties.contains("jobs/north"), renewal.toString());
         home.send(grant(renewal, "jobs/north"));
         home.send(waitingJobs());
-        var start = answerUntil(home, FleetRecords.EDGE_ASK, true);
+        var start = answerUntil(home, RecordType.EDGE_REQUEST, true);
         check("order.job-start", start, ORDER);
         home.send(answer(start, 200, startedJob()));
-        var back = answerUntil(home, FleetRecords.EDGE_ASK, true);
+        var back = answerUntil(home, RecordType.EDGE_REQUEST, true);
         check("order.job-back", back, ORDER);
         assertEquals(7, orderFence(back));
     }
 
     private static long orderFence(byte[] order) {
-        var in = new Codec.In(order, true);
+        var in = new RecordReader(order, true);
         in.i64();
         in.i64();
         in.text();
@@ -233,7 +235,7 @@
 
     private byte[] readyRenewal(PlainPeer home) throws IOException {
         for (var renewals = 0; renewals < MOST_RECORDS; renewals++) {
-            var record = answerUntil(home, FleetRecords.RENEW, true);
+            var record = answerUntil(home, RecordType.EDGE_LEASE_RENEWAL, true);
             var renewal = Renewal.read(record);
             home.send(news(renewal.stampUs, true));
             if (renewal.ready && renewal.duties.contains("jobs/north")) {
@@ -251,7 +253,7 @@
             if (record[0] == type) {
                 return record;
             }
-            if (record[0] == FleetRecords.RENEW) {
+            if (record[0] == RecordType.EDGE_LEASE_RENEWAL) {
                 var renewal = Renewal.read(record);
                 home.send(news(renewal.stampUs, jobsLive));
                 home.send(grant(renewal, "jobs/north"));
