--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -20,7 +20,10 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.api.ControlApi;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.placement.PlacementService;
 import martenloom.core.registry.Registry;
@@ -76,14 +79,14 @@
         this.loop = loop;
         store = new VersionedStore(folder);
         var kept = store.load();
-        chain = chain(kept.map(ChainMember.MemberState::of));
+        chain = chain(kept.map(PersistentMemberState::decode));
         registry = new Registry(settings.beatMs * 1000L);
         memory = new FleetMemory(settings, store, registry);
         peers = new CorePeers(loop, settings, chain, memory, this);
         orders = new OrderForwarding(loop, settings, chain, peers, peerRequests, this::carryOut);
         leave = new OrderlyLeave(loop, settings, chain, orders::handOver, orders::owesAnswers);
         placement = new PlacementService(settings, chain, registry, routes::of);
-        chain.onSurvey(() -> placement.now().text());
+        chain.setPlacementSurvey(() -> placement.now().text());
         duties = new RoleLeaseService(chain, orders::askHere, Clocks::nowUs);
         dutyRelay = new LeaseRelay(chain, duties, peers, homes);
         jobClock = new JobClock(chain, orders);
@@ -103,21 +106,21 @@
     }
 
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
-    private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
+    private ChainMember chain(Optional<PersistentMemberState> onDisk) {
         var disk = onDisk;
         if (disk.isEmpty() && !store.damaged() && settings.bootstrap && founder()) {
             disk = Optional.of(founded());
-            store.keep(disk.get().bytes());
+            store.keep(disk.get().encode());
         }
         RingLog.note(
                 "core "
                         + settings.name
                         + " starts, disk "
-                        + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
+                        + disk.map(member -> "edition " + member.state().edition).orElse("empty"));
         var life = new SecureRandom().nextLong();
         var core = new ChainMember(settings.ip, life, disk, nearness(), Clocks.nowUs());
-        core.onAway(store.awayUs());
-        core.onLeastRoster(2 * Math.max(1, settings.tolerateMachines) + 1);
+        core.setDowntimeUs(store.awayUs());
+        core.setMinimumRosterSize(2 * Math.max(1, settings.tolerateMachines) + 1);
         return core;
     }
 
@@ -125,11 +128,9 @@
         return CorePeers.seedIps(settings).contains(settings.ip);
     }
 
-    private ChainMember.MemberState founded() {
-        return new ChainMember.MemberState(
-                ChainMember.Ballot.ZERO,
-                ChainMember.Ballot.ZERO,
-                ClusterState.founded(CorePeers.seedIps(settings)));
+    private PersistentMemberState founded() {
+        return new PersistentMemberState(
+                Ballot.ZERO, Ballot.ZERO, ClusterState.founded(CorePeers.seedIps(settings)));
     }
 
     /**
@@ -148,7 +149,7 @@
                 new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
                 this);
         listenForCallers();
-        peers.dialAll(chain.memberState().state.roster);
+        peers.dialAll(chain.memberState().state().roster);
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
@@ -211,14 +212,14 @@
      */
     private boolean acceptsHeartbeats() {
         var now = Clocks.nowUs();
-        return chain.staleUs(now) < CONTACT_US || homes.reliedOn(now);
+        return chain.stalenessUs(now) < CONTACT_US || homes.reliedOn(now);
     }
 
     // ---- time
 
     private void tick() {
         var now = Clocks.nowUs();
-        chain.onKnown(peers.dialed());
+        chain.setKnownMembers(peers.dialed());
         chain.onTick(now);
         carryOut();
         duties.tick(now);
@@ -245,28 +246,30 @@
     // ---- the chain's commands
 
     private void carryOut() {
-        for (var commands = chain.drain(); !commands.isEmpty(); commands = chain.drain()) {
+        for (var commands = chain.drainEffects();
+                !commands.isEmpty();
+                commands = chain.drainEffects()) {
             commands.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Send send) {
+    private void carryOut(ChainEffect command) {
+        if (command instanceof ChainEffect.SendMessage send) {
             peers.dial(send.to());
             peers.send(send.to(), send.record());
-        } else if (command instanceof ChainMember.Store write) {
+        } else if (command instanceof ChainEffect.PersistState write) {
             keep(write);
-        } else if (command instanceof ChainMember.Answer answer) {
+        } else if (command instanceof ChainEffect.CompleteRequest answer) {
             orders.onDecided(answer);
-        } else if (command instanceof ChainMember.Committed committed) {
+        } else if (command instanceof ChainEffect.StateCommitted committed) {
             onCommitted(committed.state());
         }
     }
 
-    private void keep(ChainMember.Store write) {
+    private void keep(ChainEffect.PersistState write) {
         loop.startExternalTask();
         store.keepLater(
-                () -> write.memberState().bytes(),
+                () -> write.memberState().encode(),
                 () -> {
                     loop.execute(() -> onStored(write.token()));
                     loop.completeExternalTask();
@@ -274,7 +277,7 @@
     }
 
     private void onStored(long token) {
-        chain.onStored(Clocks.nowUs(), token);
+        chain.onPersisted(Clocks.nowUs(), token);
         carryOut();
     }
 
@@ -296,7 +299,7 @@
     public void onRecord(PeerLinks.Link link, byte[] record) {
         var type = record[0];
         if (type <= ChainMember.LAST_TYPE) {
-            chain.onRecord(Clocks.nowUs(), link.peer, record);
+            chain.onMessage(Clocks.nowUs(), link.peer, record);
             carryOut();
             return;
         }
--- a/core/src/main/java/martenloom/core/CorePeers.java
+++ b/core/src/main/java/martenloom/core/CorePeers.java
@@ -92,7 +92,7 @@
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
     void forgetGone(long now) {
-        var needed = new TreeSet<>(chain.memberState().state.roster);
+        var needed = new TreeSet<>(chain.memberState().state().roster);
         needed.addAll(chain.committed().roster);
         needed.addAll(seedIps(settings));
         for (var ip : List.copyOf(dials.keySet())) {
--- a/core/src/main/java/martenloom/core/EdgeConfigurations.java
+++ b/core/src/main/java/martenloom/core/EdgeConfigurations.java
@@ -42,7 +42,7 @@
      * the edge is told our age with every renewal, and goes elsewhere.
      */
     void sendWhole(String edgeIp, PeerLinks.Link link) {
-        if (!chain.fresh(Clocks.nowUs())) {
+        if (!chain.isFresh(Clocks.nowUs())) {
             return;
         }
         var state = chain.committed();
--- a/core/src/main/java/martenloom/core/EdgeNews.java
+++ b/core/src/main/java/martenloom/core/EdgeNews.java
@@ -53,7 +53,7 @@
         return new RecordWriter(RecordType.EDGE_LEASE_RESPONSE)
                 .i64(stamp)
                 .i64(now - startUs + (memory.restored() ? RESTORED_AGE_US : 0))
-                .i64(leave.begun() ? OrderlyLeave.FAR_TOO_OLD_US : chain.staleUs(now))
+                .i64(leave.begun() ? OrderlyLeave.FAR_TOO_OLD_US : chain.stalenessUs(now))
                 .i64(chain.committed().edition)
                 .i32(registry.edgeDigest())
                 .i32(memory.mostEdges())
--- a/core/src/main/java/martenloom/core/JobClock.java
+++ b/core/src/main/java/martenloom/core/JobClock.java
@@ -20,9 +20,7 @@
     }
 
     void tick(long now) {
-        if (chain.heading()
-                && chain.committed().jobTable.live() > 0
-                && now - writtenUs > WRITE_US) {
+        if (chain.isHead() && chain.committed().jobTable.live() > 0 && now - writtenUs > WRITE_US) {
             writtenUs = now;
             var order = new ClusterState.Change(ClusterState.Act.JOB_CLOCK, 0, "", "");
             orders.askHere(order, (status, text) -> {});
--- a/core/src/main/java/martenloom/core/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/LeaseRelay.java
@@ -54,7 +54,7 @@
     }
 
     private void want(String duty, String holder, long stamp) {
-        if (chain.heading()) {
+        if (chain.isHead()) {
             homes.link(ipOf(holder))
                     .ifPresent(link -> duties.want(duty, holder, stamp, link::send));
             return;
--- a/core/src/main/java/martenloom/core/OrderForwarding.java
+++ b/core/src/main/java/martenloom/core/OrderForwarding.java
@@ -11,6 +11,7 @@
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.settings.Settings;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
 
@@ -54,13 +55,13 @@
     void askHere(ClusterState.Change order, BiConsumer<Integer, String> reply) {
         var id = ++lastLocal;
         localRequests.put(id, reply);
-        chain.onAsk(Clocks.nowUs(), id, order);
+        chain.submit(Clocks.nowUs(), id, order);
         loop.post(carryOut);
     }
 
     /** Hands an order to the head, wherever it is. */
     void handOver(ClusterState.Change order, BiConsumer<Integer, String> reply) {
-        if (chain.heading()) {
+        if (chain.isHead()) {
             askHere(order, reply);
             return;
         }
@@ -101,14 +102,14 @@
     }
 
     /** The chain's answer to an order that was put to it here. */
-    void onDecided(ChainMember.Answer answer) {
+    void onDecided(ChainEffect.CompleteRequest answer) {
         Optional.ofNullable(localRequests.remove(answer.request()))
                 .ifPresent(reply -> reply.accept(answer.status(), answer.text()));
     }
 
     /** Whether this daemon knew of a majority that held together a moment ago. */
     boolean inTouch() {
-        return chain.fresh(Clocks.nowUs());
+        return chain.isFresh(Clocks.nowUs());
     }
 
     /** Whether callers here still wait for an answer. */
--- a/core/src/main/java/martenloom/core/OrderlyLeave.java
+++ b/core/src/main/java/martenloom/core/OrderlyLeave.java
@@ -11,6 +11,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.core.api.ControlApi;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.MemberRole;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -74,7 +75,7 @@
                 () -> {
                     RingLog.note("leaving");
                     begun = true;
-                    chain.onLeave(Clocks.nowUs());
+                    chain.startLeaving(Clocks.nowUs());
                     step(done);
                 });
         try {
@@ -105,8 +106,8 @@
      * Not before the chain can do without this member; then when no caller waits, or soon after.
      */
     private boolean mayEnd(long now) {
-        var learning = chain.mode() == ChainMember.Mode.LEARNING;
-        if (releasedUs == 0 && (taken || learning) && chain.released(now)) {
+        var learning = chain.role() == MemberRole.LEARNER;
+        if (releasedUs == 0 && (taken || learning) && chain.mayTerminate(now)) {
             releasedUs = now;
         }
         return releasedUs > 0 && (!owesAnswers.getAsBoolean() || now - releasedUs > ANSWERS_US);
--- a/core/src/main/java/martenloom/core/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/ShellQueries.java
@@ -101,12 +101,12 @@
     private String chainState(long now) {
         return String.format(
                 "mode %s view %d.%s head %s chain %s stale %d ms\nroster %s\n",
-                chain.mode(),
-                chain.view().n(),
-                chain.view().who(),
+                chain.role().label(),
+                chain.view().number(),
+                chain.view().member(),
                 chain.head(),
                 chain.chain(),
-                chain.staleUs(now) / 1000,
+                chain.stalenessUs(now) / 1000,
                 chain.committed().roster);
     }
 
--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -8,8 +8,6 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
-import martenloom.common.codec.RecordReader;
-import martenloom.common.codec.RecordWriter;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -52,74 +50,6 @@
     /** The number of an order that the head gives itself. */
     private static final long OWN_ASK = -1;
 
-    /** A view's name; the higher number wins, then the address. */
-    public record Ballot(long n, String who) implements Comparable<Ballot> {
-        public static final Ballot ZERO = new Ballot(0, "");
-
-        @Override
-        public int compareTo(Ballot o) {
-            return n != o.n ? Long.compare(n, o.n) : who.compareTo(o.who);
-        }
-
-        void write(RecordWriter o) {
-            o.i64(n).text(who);
-        }
-
-        static Ballot read(RecordReader in) {
-            return new Ballot(in.i64(), in.text());
-        }
-    }
-
-    /** What a member keeps on disk. */
-    public static final class MemberState {
-        public final Ballot promised;
-        public final Ballot accepted;
-        public final ClusterState state;
-
-        public MemberState(Ballot p, Ballot a, ClusterState s) {
-            promised = p;
-            accepted = a;
-            state = s;
-        }
-
-        public byte[] bytes() {
-            var o = new RecordWriter();
-            promised.write(o);
-            accepted.write(o);
-            return o.blob(state.bytes()).bytes();
-        }
-
-        public static MemberState of(byte[] b) {
-            var in = new RecordReader(b, false);
-            return new MemberState(Ballot.read(in), Ballot.read(in), ClusterState.of(in.blob()));
-        }
-    }
-
-    /** What this member is doing; exactly one at any time. */
-    public enum Mode {
-        LEARNING,
-        IDLE,
-        BIDDING,
-        STARTING,
-        HEADING,
-        FOLLOWING
-    }
-
-    /** What the owner of a chain member has to carry out, in the order given. */
-    public sealed interface Command permits Send, Store, Answer, Committed {}
-
-    /** Send a record to another member; it may be lost. */
-    public record Send(String to, byte[] record) implements Command {}
-
-    /** Make the state durable, then call onStored with the token. */
-    public record Store(long token, MemberState memberState) implements Command {}
-
-    /** Answer a request that onAsk was called with; the status is one of HTTP. */
-    public record Answer(long request, int status, String text) implements Command {}
-
-    /** A newer state is known to be committed. */
-    public record Committed(ClusterState state) implements Command {}
-
     private record Asked(long request, ClusterState.Change change) {}
 
     /** The write that is under way: whose it is, since when, and what its caller is told. */
@@ -140,7 +70,11 @@
     private long awayUs;
 
     public ChainMember(
-            String me, long nonce, Optional<MemberState> disk, Comparator<String> near, long now) {
+            String me,
+            long nonce,
+            Optional<PersistentMemberState> disk,
+            Comparator<String> near,
+            long now) {
         member = new MemberContext(me, nonce, disk, near, now);
         membership = new Membership(member);
         agreement = new ViewAgreement(member, membership, this);
@@ -154,7 +88,7 @@
 
     // ---- what others may look at
 
-    public Mode mode() {
+    public MemberRole role() {
         return member.mode;
     }
 
@@ -162,12 +96,12 @@
         return member.committed;
     }
 
-    public MemberState memberState() {
+    public PersistentMemberState memberState() {
         return member.disk.kept();
     }
 
     public List<String> chain() {
-        return heading() ? member.chain : member.chainSeen;
+        return isHead() ? member.chain : member.chainSeen;
     }
 
     public Ballot view() {
@@ -175,7 +109,7 @@
     }
 
     public String head() {
-        return heading() ? member.me : member.headSeen;
+        return isHead() ? member.me : member.headSeen;
     }
 
     /** The job clock: goes on from what the state says, by this member's own steady clock. */
@@ -184,15 +118,15 @@
     }
 
     /** Told at a start: how long this member was away, as far as is known. */
-    public void onAway(long us) {
+    public void setDowntimeUs(long us) {
         awayUs = us;
     }
 
-    public boolean heading() {
+    public boolean isHead() {
         return member.heading();
     }
 
-    public long headingSinceUs() {
+    public long headSinceUs() {
         return member.viewSinceUs;
     }
 
@@ -201,24 +135,24 @@
      * of the newest heartbeat that ran the whole chain, as the head knows it, or as it told its
      * followers with the age that it had then.
      */
-    public long staleUs(long t) {
-        return t - (heading() ? barrier.provenUs() : member.toldUs);
+    public long stalenessUs(long t) {
+        return t - (isHead() ? barrier.provenUs() : member.toldUs);
     }
 
     /** Whether what this member knows may be handed out as current. */
-    public boolean fresh(long t) {
-        return staleUs(t) <= STALE_US;
+    public boolean isFresh(long t) {
+        return stalenessUs(t) <= STALE_US;
     }
 
     /**
      * When the newest heartbeat that came back was sent: until then at least, no other view had
      * been agreed.
      */
-    public long provenUs() {
+    public long majorityProvenUs() {
         return barrier.provenUs();
     }
 
-    public List<Command> drain() {
+    public List<ChainEffect> drainEffects() {
         var commands = new ArrayList<>(member.output);
         member.output.clear();
         return commands;
@@ -227,12 +161,12 @@
     // ---- what the owner says
 
     /** The owner names the cores it has links to; the head keeps those outside the chain told. */
-    public void onKnown(Collection<String> cores) {
+    public void setKnownMembers(Collection<String> cores) {
         news.setKnown(cores);
     }
 
     /** Asked at the head in the step that decides a change of placement: what runs where. */
-    public void onSurvey(Supplier<String> s) {
+    public void setPlacementSurvey(Supplier<String> s) {
         survey = s;
     }
 
@@ -240,16 +174,16 @@
      * The fewest members that still bear what is to be borne; without this word nobody is taken off
      * merely for its absence.
      */
-    public void onLeastRoster(int n) {
+    public void setMinimumRosterSize(int n) {
         membership.setLeastRoster(n);
     }
 
     /**
      * The process is about to end: from now on this member takes part only where its promise is
      * needed. The owner hands the change LEAVE with this member as its subject to the head, again
-     * and again, until released() holds.
+     * and again, until mayTerminate() holds.
      */
-    public void onLeave(long t) {
+    public void startLeaving(long t) {
         member.advance(t);
         member.leaving = true;
         leavingSinceUs = member.nowUs;
@@ -261,26 +195,26 @@
      * this member's promise, which may need it. If all members of the roster leave, nobody is
      * waited for, once newcomers have had the time to join.
      */
-    public boolean released(long t) {
+    public boolean mayTerminate(long t) {
         var known = member.committed;
         var nobodyStays = known.edition > 0 && known.departed.containsAll(known.roster);
         return member.released
-                || member.mode == Mode.LEARNING
+                || member.mode == MemberRole.LEARNER
                 || nobodyStays && t - leavingSinceUs > NEWCOMERS_JOIN_US;
     }
 
     // ---- the one function that changes what this member does
 
-    void become(Mode next) {
-        if (heading() && next != Mode.HEADING) {
+    void become(MemberRole next) {
+        if (isHead() && next != MemberRole.HEAD) {
             refuseAll();
         }
-        if (next == Mode.HEADING) {
+        if (next == MemberRole.HEAD) {
             member.viewSinceUs = member.nowUs;
             member.headSeen = member.me;
             barrier.onActive(member.nowUs, member.formedUs);
         }
-        if (next == Mode.IDLE || next == Mode.FOLLOWING) {
+        if (next == MemberRole.IDLE || next == MemberRole.FOLLOWER) {
             membership.clear();
         }
         member.mode = next;
@@ -288,14 +222,20 @@
 
     private void refuseAll() {
         var why = "the chain is being mended";
-        write.ifPresent(w -> member.output.add(new Answer(w.request, UNAVAILABLE, why)));
+        write.ifPresent(
+                w ->
+                        member.output.add(
+                                new ChainEffect.CompleteRequest(w.request, UNAVAILABLE, why)));
         write = Optional.empty();
         barrier.refuseAll(UNAVAILABLE, why);
-        queue.forEach(a -> member.output.add(new Answer(a.request, UNAVAILABLE, why)));
+        queue.forEach(
+                a ->
+                        member.output.add(
+                                new ChainEffect.CompleteRequest(a.request, UNAVAILABLE, why)));
         queue.clear();
     }
 
-    public void onStored(long t, long token) {
+    public void onPersisted(long t, long token) {
         member.advance(t);
         var before = member.state().edition;
         if (!member.disk.onStored(token)) {
@@ -314,11 +254,11 @@
     public void onTick(long t) {
         member.advance(t);
         switch (member.mode) {
-            case HEADING -> tickHead();
-            case BIDDING -> agreement.tickBidding();
-            case STARTING -> tickStart();
-            case IDLE, FOLLOWING -> agreement.tickWaiting();
-            case LEARNING -> {}
+            case HEAD -> tickHead();
+            case CANDIDATE -> agreement.tickBidding();
+            case ACTIVATING_VIEW -> tickStart();
+            case IDLE, FOLLOWER -> agreement.tickWaiting();
+            case LEARNER -> {}
         }
     }
 
@@ -326,7 +266,7 @@
     private void stepDown() {
         member.quietUntilUs = member.nowUs + SICK_HEAD_RESTS_US;
         member.heardUs = member.nowUs;
-        become(Mode.IDLE);
+        become(MemberRole.IDLE);
     }
 
     private void tickStart() {
@@ -371,10 +311,12 @@
 
     // ---- changes asked for
 
-    public void onAsk(long t, long request, ClusterState.Change change) {
+    public void submit(long t, long request, ClusterState.Change change) {
         member.advance(t);
-        if (!heading() || queue.size() + barrier.waiting() >= QUEUE) {
-            member.output.add(new Answer(request, UNAVAILABLE, "not the head of an active chain"));
+        if (!isHead() || queue.size() + barrier.waiting() >= QUEUE) {
+            member.output.add(
+                    new ChainEffect.CompleteRequest(
+                            request, UNAVAILABLE, "not the head of an active chain"));
             return;
         }
         if (change.act == ClusterState.Act.LEAVE) {
@@ -385,7 +327,7 @@
     }
 
     private boolean isIdleHead() {
-        return heading() && write.isEmpty() && member.disk.isFree();
+        return isHead() && write.isEmpty() && member.disk.isFree();
     }
 
     /**
@@ -443,7 +385,7 @@
 
     /** The whole chain of the view that this member formed has accepted its state. */
     void onViewActive() {
-        become(Mode.HEADING);
+        become(MemberRole.HEAD);
         heartbeats.send();
         work();
     }
@@ -451,7 +393,8 @@
     /** The whole chain has accepted what this head holds. */
     void onWriteAcknowledged() {
         if (write.isPresent()) {
-            member.output.add(new Answer(write.get().request, 200, write.get().text));
+            member.output.add(
+                    new ChainEffect.CompleteRequest(write.get().request, 200, write.get().text));
             write = Optional.empty();
             work();
         }
@@ -459,12 +402,12 @@
 
     // ---- records from peers
 
-    public void onRecord(long t, String from, byte[] record) {
+    public void onMessage(long t, String from, byte[] record) {
         member.advance(t);
-        ChainMessage.decode(record).ifPresent(message -> onMessage(from, message));
+        ChainMessage.decode(record).ifPresent(message -> dispatch(from, message));
     }
 
-    private void onMessage(String from, ChainMessage message) {
+    private void dispatch(String from, ChainMessage message) {
         if (message instanceof ChainMessage.Prepare m) {
             member.disk.whenFree(() -> agreement.onPrepare(from, m));
         } else if (message instanceof ChainMessage.Refused m) {
--- a/core/src/main/java/martenloom/core/chain/ChainMessage.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMessage.java
@@ -6,7 +6,6 @@
 import java.util.TreeMap;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
-import martenloom.core.chain.ChainMember.Ballot;
 import martenloom.core.state.ClusterState;
 
 /**
--- a/core/src/main/java/martenloom/core/chain/DurableState.java
+++ b/core/src/main/java/martenloom/core/chain/DurableState.java
@@ -4,28 +4,26 @@
 import java.util.Deque;
 import java.util.Optional;
 import java.util.function.Consumer;
-import martenloom.core.chain.ChainMember.MemberState;
-import martenloom.core.chain.ChainMember.Store;
 
 /** What this member has on disk, and the one write that may be under way. */
 final class DurableState {
     private static final long SICK_DISK_US = 800_000;
     private static final int MOST_DEFERRED = 256;
 
-    private final Consumer<Store> output;
+    private final Consumer<ChainEffect.PersistState> output;
     private final Deque<Runnable> deferred = new ArrayDeque<>();
-    private MemberState kept;
-    private Optional<MemberState> storing = Optional.empty();
+    private PersistentMemberState kept;
+    private Optional<PersistentMemberState> storing = Optional.empty();
     private Runnable afterStore = () -> {};
     private long token;
     private long sinceUs;
 
-    DurableState(MemberState kept, Consumer<Store> output) {
+    DurableState(PersistentMemberState kept, Consumer<ChainEffect.PersistState> output) {
         this.kept = kept;
         this.output = output;
     }
 
-    MemberState kept() {
+    PersistentMemberState kept() {
         return kept;
     }
 
@@ -39,11 +37,11 @@
     }
 
     /** Begins a write, which must be the only one, and runs the rest once it is durable. */
-    void store(MemberState next, long nowUs, Runnable then) {
+    void store(PersistentMemberState next, long nowUs, Runnable then) {
         storing = Optional.of(next);
         afterStore = then;
         sinceUs = nowUs;
-        output.accept(new Store(++token, next));
+        output.accept(new ChainEffect.PersistState(++token, next));
     }
 
     /** Runs at once when the disk is free, else when it is. */
--- a/core/src/main/java/martenloom/core/chain/Heartbeats.java
+++ b/core/src/main/java/martenloom/core/chain/Heartbeats.java
@@ -1,7 +1,5 @@
 package martenloom.core.chain;
 
-import martenloom.core.chain.ChainMember.Mode;
-
 /** Heartbeats of a head down its chain, and their way back from the tail. */
 final class Heartbeats {
     private final MemberContext member;
@@ -35,12 +33,12 @@
         var chain = beat.chain();
         var place = chain.indexOf(member.me);
         if (place < 1
-                || member.mode != Mode.FOLLOWING && member.mode != Mode.IDLE
+                || member.mode != MemberRole.FOLLOWER && member.mode != MemberRole.IDLE
                 || !member.holds(beat.ballot())) {
             return;
         }
-        if (member.mode == Mode.IDLE) {
-            owner.become(Mode.FOLLOWING);
+        if (member.mode == MemberRole.IDLE) {
+            owner.become(MemberRole.FOLLOWER);
             member.released = false;
         }
         member.told(beat.proofAgeUs());
@@ -59,7 +57,7 @@
         if (!ack.ballot().equals(member.view)) {
             return;
         }
-        if (member.mode == Mode.FOLLOWING) {
+        if (member.mode == MemberRole.FOLLOWER) {
             var place = member.chainSeen.indexOf(member.me);
             if (place > 0) {
                 member.send(member.chainSeen.get(place - 1), ack);
--- a/core/src/main/java/martenloom/core/chain/MemberContext.java
+++ b/core/src/main/java/martenloom/core/chain/MemberContext.java
@@ -5,11 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.core.chain.ChainMember.Ballot;
-import martenloom.core.chain.ChainMember.Command;
-import martenloom.core.chain.ChainMember.MemberState;
-import martenloom.core.chain.ChainMember.Mode;
-import martenloom.core.chain.ChainMember.Send;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -33,10 +28,10 @@
     /** The order of the chain: near members first. */
     final Comparator<String> near;
 
-    final List<Command> output = new ArrayList<>();
+    final List<ChainEffect> output = new ArrayList<>();
     final DurableState disk;
     long nowUs;
-    Mode mode;
+    MemberRole mode;
 
     /** The view that this member takes part in, or took part in last. */
     Ballot view = Ballot.ZERO;
@@ -78,22 +73,22 @@
     MemberContext(
             String me,
             long nonce,
-            Optional<MemberState> kept,
+            Optional<PersistentMemberState> kept,
             Comparator<String> near,
             long nowUs) {
         this.me = me;
         this.nonce = nonce;
         this.near = near;
         this.nowUs = nowUs;
-        mode = kept.isPresent() ? Mode.IDLE : Mode.LEARNING;
+        mode = kept.isPresent() ? MemberRole.IDLE : MemberRole.LEARNER;
         disk =
                 new DurableState(
                         kept.orElse(
-                                new MemberState(
+                                new PersistentMemberState(
                                         Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of()))),
                         output::add);
         committed = ClusterState.founded(state().roster);
-        topNumber = promised().n();
+        topNumber = promised().number();
         heardUs = nowUs - SILENT_US;
     }
 
@@ -102,19 +97,19 @@
     }
 
     ClusterState state() {
-        return disk.kept().state;
+        return disk.kept().state();
     }
 
     Ballot promised() {
-        return disk.kept().promised;
+        return disk.kept().promised();
     }
 
     Ballot accepted() {
-        return disk.kept().accepted;
+        return disk.kept().accepted();
     }
 
     boolean heading() {
-        return mode == Mode.HEADING;
+        return mode == MemberRole.HEAD;
     }
 
     /** Whether this member accepted the state of a view and has promised no higher one. */
@@ -142,10 +137,10 @@
     }
 
     void send(String to, ChainMessage message) {
-        output.add(new Send(to, message.encode().bytes()));
+        output.add(new ChainEffect.SendMessage(to, message.encode().bytes()));
     }
 
-    void store(MemberState next, Runnable then) {
+    void store(PersistentMemberState next, Runnable then) {
         disk.store(next, nowUs, then);
     }
 }
--- a/core/src/main/java/martenloom/core/chain/NewsExchange.java
+++ b/core/src/main/java/martenloom/core/chain/NewsExchange.java
@@ -3,8 +3,6 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.TreeSet;
-import martenloom.core.chain.ChainMember.Committed;
-import martenloom.core.chain.ChainMember.Mode;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -52,16 +50,17 @@
     }
 
     void onNews(String from, ChainMessage.News news) {
-        var isOld = news.ballot().compareTo(member.promised()) < 0 && member.mode != Mode.LEARNING;
-        if (isOld || member.heading() || member.mode == Mode.STARTING) {
+        var isOld =
+                news.ballot().compareTo(member.promised()) < 0 && member.mode != MemberRole.LEARNER;
+        if (isOld || member.heading() || member.mode == MemberRole.ACTIVATING_VIEW) {
             if (!member.leaving) {
-                member.send(from, new ChainMessage.Here(member.promised().n()));
+                member.send(from, new ChainMessage.Here(member.promised().number()));
             }
             return;
         }
         member.headSeen = news.chain().get(0);
         member.chainSeen = news.chain();
-        member.heardOf(news.ballot().n());
+        member.heardOf(news.ballot().number());
         member.told(news.proofAgeUs());
         if (news.edition() > member.committed.edition && member.nowUs - pulledUs >= PULL_US) {
             pulledUs = member.nowUs;
@@ -91,7 +90,7 @@
         var state = ClusterState.of(snapshot.state());
         if (state.edition > member.committed.edition) {
             member.committed = state;
-            member.output.add(new Committed(state));
+            member.output.add(new ChainEffect.StateCommitted(state));
         }
     }
 }
--- a/core/src/main/java/martenloom/core/chain/ReadBarrier.java
+++ b/core/src/main/java/martenloom/core/chain/ReadBarrier.java
@@ -3,7 +3,6 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import martenloom.core.chain.ChainMember.Answer;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -17,7 +16,7 @@
     /** An answer that writes nothing, until the heartbeat that proves this head. */
     private record Unproven(long request, ClusterState.Outcome outcome, long barrier) {}
 
-    private final Consumer<Answer> output;
+    private final Consumer<ChainEffect.CompleteRequest> output;
     private final Deque<Unproven> unproven = new ArrayDeque<>();
     private final long[] sentAtUs = new long[REMEMBERED];
     private long number;
@@ -26,7 +25,7 @@
     private long sentUs;
     private long provenUs;
 
-    ReadBarrier(Consumer<Answer> output) {
+    ReadBarrier(Consumer<ChainEffect.CompleteRequest> output) {
         this.output = output;
     }
 
@@ -79,7 +78,8 @@
         }
         while (!unproven.isEmpty() && acknowledged >= unproven.peek().barrier) {
             var u = unproven.poll();
-            output.accept(new Answer(u.request, u.outcome.status, u.outcome.text));
+            output.accept(
+                    new ChainEffect.CompleteRequest(u.request, u.outcome.status, u.outcome.text));
         }
     }
 
@@ -97,7 +97,8 @@
     }
 
     void refuseAll(int status, String text) {
-        unproven.forEach(u -> output.accept(new Answer(u.request, status, text)));
+        unproven.forEach(
+                u -> output.accept(new ChainEffect.CompleteRequest(u.request, status, text)));
         unproven.clear();
     }
 }
--- a/core/src/main/java/martenloom/core/chain/Replication.java
+++ b/core/src/main/java/martenloom/core/chain/Replication.java
@@ -2,10 +2,6 @@
 
 import java.util.List;
 import java.util.Optional;
-import martenloom.core.chain.ChainMember.Ballot;
-import martenloom.core.chain.ChainMember.Committed;
-import martenloom.core.chain.ChainMember.MemberState;
-import martenloom.core.chain.ChainMember.Mode;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -43,9 +39,9 @@
         holders = heldBy;
         var ballot = member.view;
         member.store(
-                new MemberState(ballot, ballot, state),
+                new PersistentMemberState(ballot, ballot, state),
                 () -> {
-                    if (member.mode == Mode.STARTING && member.view.equals(ballot)) {
+                    if (member.mode == MemberRole.ACTIVATING_VIEW && member.view.equals(ballot)) {
                         passOn();
                     }
                 });
@@ -55,7 +51,7 @@
     void write(ClusterState.Change made, ClusterState next) {
         var ballot = member.view;
         member.store(
-                new MemberState(ballot, ballot, next),
+                new PersistentMemberState(ballot, ballot, next),
                 () -> {
                     if (member.heading() && member.view.equals(ballot)) {
                         change = Optional.of(made);
@@ -108,7 +104,7 @@
         var view = step.view();
         var place = view.chain().indexOf(member.me);
         if (place < 1
-                || member.mode != Mode.FOLLOWING
+                || member.mode != MemberRole.FOLLOWER
                 || !member.holds(view.ballot())
                 || member.state().edition != step.edition() - 1) {
             return;
@@ -119,7 +115,7 @@
         }
         member.heardUs = member.nowUs;
         member.store(
-                new MemberState(view.ballot(), view.ballot(), next.get()),
+                new PersistentMemberState(view.ballot(), view.ballot(), next.get()),
                 () -> {
                     if (view.isLast(place)) {
                         commitAtTail(view, step.edition());
@@ -135,8 +131,9 @@
         if (view.chain().indexOf(member.me) < 1 || !isForThisLife(view)) {
             return;
         }
-        if (member.mode != Mode.LEARNING && ballot.compareTo(member.promised()) < 0) {
-            member.send(view.chain().get(0), new ChainMessage.Nack(ballot, member.promised().n()));
+        if (member.mode != MemberRole.LEARNER && ballot.compareTo(member.promised()) < 0) {
+            member.send(
+                    view.chain().get(0), new ChainMessage.Nack(ballot, member.promised().number()));
             return;
         }
         var passed = passed(pass);
@@ -147,17 +144,18 @@
         member.told(0);
         if (member.accepted().equals(ballot)
                 && member.state().edition >= state.edition
-                && member.mode == Mode.FOLLOWING) {
+                && member.mode == MemberRole.FOLLOWER) {
             passFurther(pass, state);
             return;
         }
         if (member.accepted().equals(ballot) && member.state().edition > state.edition) {
             return;
         }
-        owner.become(Mode.FOLLOWING);
+        owner.become(MemberRole.FOLLOWER);
         member.released = false;
         member.follow(ballot, view.chain());
-        member.store(new MemberState(ballot, ballot, state), () -> passFurther(pass, state));
+        member.store(
+                new PersistentMemberState(ballot, ballot, state), () -> passFurther(pass, state));
     }
 
     /**
@@ -167,7 +165,7 @@
     private boolean isForThisLife(ChainMessage.View view) {
         var nonce = Optional.ofNullable(view.learners().get(member.me));
         var mine = nonce.isPresent() && nonce.get() == member.nonce;
-        if (member.mode == Mode.LEARNING) {
+        if (member.mode == MemberRole.LEARNER) {
             return mine;
         }
         return nonce.isEmpty()
@@ -186,7 +184,7 @@
                 member.state().edition == pass.edition()
                         && (acceptedIn.equals(pass.basis())
                                 || acceptedIn.equals(pass.view().ballot()));
-        return held && member.mode != Mode.LEARNING
+        return held && member.mode != MemberRole.LEARNER
                 ? Optional.of(member.state())
                 : Optional.empty();
     }
@@ -218,20 +216,20 @@
             return;
         }
         switch (member.mode) {
-            case FOLLOWING -> {
+            case FOLLOWER -> {
                 commit(ack.ballot(), ack.edition());
                 var place = member.chainSeen.indexOf(member.me);
                 if (place > 0) {
                     member.send(member.chainSeen.get(place - 1), ack);
                 }
             }
-            case STARTING -> {
+            case ACTIVATING_VIEW -> {
                 if (ack.edition() == member.state().edition) {
                     commit(ack.ballot(), ack.edition());
                     owner.onViewActive();
                 }
             }
-            case HEADING -> {
+            case HEAD -> {
                 commit(ack.ballot(), ack.edition());
                 if (ack.edition() == member.state().edition && member.disk.isFree()) {
                     owner.onWriteAcknowledged();
@@ -250,7 +248,7 @@
         if (isIt && (edition > known.edition || known.edition == 0)) {
             member.committed = member.state();
             if (known.edition != edition || !known.roster.equals(member.committed.roster)) {
-                member.output.add(new Committed(member.committed));
+                member.output.add(new ChainEffect.StateCommitted(member.committed));
             }
         }
     }
--- a/core/src/main/java/martenloom/core/chain/ViewAgreement.java
+++ b/core/src/main/java/martenloom/core/chain/ViewAgreement.java
@@ -8,9 +8,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import martenloom.core.chain.ChainMember.Ballot;
-import martenloom.core.chain.ChainMember.MemberState;
-import martenloom.core.chain.ChainMember.Mode;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -117,7 +114,7 @@
         if (member.nowUs - bid.startUs > BID_US) {
             member.quietUntilUs = member.nowUs + AFTER_VAIN_BID_US + rank() * RANK_US;
             member.heardUs = member.nowUs - MemberContext.SILENT_US;
-            owner.become(Mode.IDLE);
+            owner.become(MemberRole.IDLE);
             return;
         }
         tryForm();
@@ -125,15 +122,15 @@
 
     /** Begins a bid; the disk must be free. */
     void start() {
-        member.topNumber = Math.max(member.topNumber, member.promised().n()) + 1;
+        member.topNumber = Math.max(member.topNumber, member.promised().number()) + 1;
         var ballot = new Ballot(member.topNumber, member.me);
         var candidates = member.heading() ? membership.candidates() : new TreeSet<String>();
         var released = handedOver.equals(member.promised()) ? handedOver : Ballot.ZERO;
         member.released = false;
-        owner.become(Mode.BIDDING);
+        owner.become(MemberRole.CANDIDATE);
         bid = new Bid(ballot, member.nowUs, released, candidates);
         member.store(
-                new MemberState(ballot, member.accepted(), member.state()),
+                new PersistentMemberState(ballot, member.accepted(), member.state()),
                 () -> {
                     if (isMine(ballot)) {
                         bid.votes.put(
@@ -150,7 +147,7 @@
     }
 
     private boolean isMine(Ballot ballot) {
-        return member.mode == Mode.BIDDING && ballot.equals(bid.ballot);
+        return member.mode == MemberRole.CANDIDATE && ballot.equals(bid.ballot);
     }
 
     private void ask(List<String> roster) {
@@ -175,18 +172,18 @@
 
     void onPrepare(String from, ChainMessage.Prepare prepare) {
         var ballot = prepare.ballot();
-        member.heardOf(ballot.n());
-        if (member.mode == Mode.LEARNING) {
+        member.heardOf(ballot.number());
+        if (member.mode == MemberRole.LEARNER) {
             if (!member.leaving) {
                 member.send(from, new ChainMessage.Learner(ballot, member.nonce));
             }
             return;
         }
         if (ballot.compareTo(member.promised()) < 0 || isContent(from, prepare.released())) {
-            member.send(from, new ChainMessage.Refused(ballot, member.promised().n()));
+            member.send(from, new ChainMessage.Refused(ballot, member.promised().number()));
             return;
         }
-        if (ballot.equals(member.promised()) && member.mode == Mode.FOLLOWING) {
+        if (ballot.equals(member.promised()) && member.mode == MemberRole.FOLLOWER) {
             return;
         }
         member.heardUs = member.nowUs;
@@ -194,9 +191,9 @@
             promise(from, prepare);
             return;
         }
-        owner.become(Mode.IDLE);
+        owner.become(MemberRole.IDLE);
         member.store(
-                new MemberState(ballot, member.accepted(), member.state()),
+                new PersistentMemberState(ballot, member.accepted(), member.state()),
                 () -> promise(from, prepare));
     }
 
@@ -217,13 +214,13 @@
      * upset the rest. A head that hands over frees the members of its view from this.
      */
     private boolean isContent(String from, Ballot released) {
-        if (released.n() > 0 && released.equals(member.promised())) {
+        if (released.number() > 0 && released.equals(member.promised())) {
             return false;
         }
         return switch (member.mode) {
-            case FOLLOWING ->
+            case FOLLOWER ->
                     !from.equals(member.headSeen) && member.nowUs - member.heardUs < CONTENT_US;
-            case HEADING -> member.nowUs - owner.heartbeatAcknowledgedUs() < CONTENT_US;
+            case HEAD -> member.nowUs - owner.heartbeatAcknowledgedUs() < CONTENT_US;
             default -> false;
         };
     }
@@ -241,7 +238,7 @@
             return;
         }
         member.quietUntilUs = member.nowUs + AFTER_REFUSAL_US + rank() * RANK_US;
-        owner.become(Mode.IDLE);
+        owner.become(MemberRole.IDLE);
     }
 
     void onLearner(String from, ChainMessage.Learner learner) {
@@ -273,9 +270,9 @@
     void onNack(ChainMessage.Nack nack) {
         member.heardOf(nack.promised());
         if (nack.ballot().equals(member.view)
-                && (member.heading() || member.mode == Mode.STARTING)) {
+                && (member.heading() || member.mode == MemberRole.ACTIVATING_VIEW)) {
             member.quietUntilUs = member.nowUs + AFTER_REFUSAL_US;
-            owner.become(Mode.IDLE);
+            owner.become(MemberRole.IDLE);
         }
     }
 
@@ -332,7 +329,7 @@
      */
     private void rest() {
         member.quietUntilUs = member.nowUs + OUTSIDER_RESTS_US;
-        owner.become(Mode.IDLE);
+        owner.become(MemberRole.IDLE);
     }
 
     private void form(Vote newest) {
@@ -343,7 +340,7 @@
         learners.keySet().retainAll(member.chain);
         member.learners = learners;
         member.chainSeen = member.chain;
-        owner.become(Mode.STARTING);
+        owner.become(MemberRole.ACTIVATING_VIEW);
         member.viewSinceUs = member.nowUs;
         member.formedUs = member.nowUs;
         membership.onFormed(bid.leaving);
@@ -392,7 +389,7 @@
      * The head of this member's view is about to leave and names this member as the one to go on.
      */
     void onHandover(ChainMessage.Handover handover) {
-        if (member.mode == Mode.FOLLOWING
+        if (member.mode == MemberRole.FOLLOWER
                 && member.holds(handover.view())
                 && member.disk.isFree()) {
             handedOver = handover.view();
--- a/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -53,7 +53,7 @@
     }
 
     public void tick(long now) {
-        if (!chain.heading()) {
+        if (!chain.isHead()) {
             wants.clear();
             renewed.clear();
             return;
@@ -65,13 +65,13 @@
             }
             var d = Optional.ofNullable(chain.committed().duties.get(w.key));
             if (d.isPresent() && d.get().holder.equals(w.holder)) {
-                if (chain.provenUs() > w.atUs) {
+                if (chain.majorityProvenUs() > w.atUs) {
                     renewed.put(w.key, now);
                     wants.remove(w.key);
                     grant(w, d.get().grant);
                 }
             } else if (d.isEmpty()
-                    || now - Math.max(renewed.getOrDefault(w.key, 0L), chain.headingSinceUs())
+                    || now - Math.max(renewed.getOrDefault(w.key, 0L), chain.headSinceUs())
                             > WAIT_US) {
                 wants.remove(w.key);
                 write(w);
--- a/core/src/main/java/martenloom/core/placement/PlacementService.java
+++ b/core/src/main/java/martenloom/core/placement/PlacementService.java
@@ -59,8 +59,8 @@
      * operator, a crash, a loss.
      */
     public void watch(long now) {
-        if (!chain.heading()
-                || now - chain.headingSinceUs() < 4_000_000
+        if (!chain.isHead()
+                || now - chain.headSinceUs() < 4_000_000
                 || chain.committed().revision == 0) {
             return;
         }
--- a/core/src/test/java/martenloom/core/chain/CatchUpTest.java
+++ b/core/src/test/java/martenloom/core/chain/CatchUpTest.java
@@ -39,7 +39,7 @@
         w.until("one head", 5_000_000, w::whole);
         var away =
                 w.nodes.values().stream()
-                        .filter(n -> !n.core.get().heading())
+                        .filter(n -> !n.core.get().isHead())
                         .findFirst()
                         .orElseThrow();
         w.crash(away, false);
--- a/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
@@ -15,8 +15,8 @@
 /** Holds the wire form of every message between members of the chain. */
 final class ChainMessageGoldenTest {
     private static final String MESSAGES = "chain-messages.txt";
-    private static final ChainMember.Ballot OLDER = new ChainMember.Ballot(11, "10.0.0.1");
-    private static final ChainMember.Ballot NEWER = new ChainMember.Ballot(12, "10.1.0.1");
+    private static final Ballot OLDER = new Ballot(11, "10.0.0.1");
+    private static final Ballot NEWER = new Ballot(12, "10.1.0.1");
     private static final List<String> CHAIN = List.of("10.1.0.1", "10.0.0.1", "10.2.0.1");
     private static final long EDITION = 5_000_000_001L;
     private static final byte[] STATE = ClusterState.founded(CHAIN).bytes();
@@ -28,7 +28,7 @@
         messages.put("prepare", new ChainMessage.Prepare(NEWER, OLDER, EDITION, OLDER));
         messages.put(
                 "prepare, nothing released",
-                new ChainMessage.Prepare(NEWER, OLDER, EDITION, ChainMember.Ballot.ZERO));
+                new ChainMessage.Prepare(NEWER, OLDER, EDITION, Ballot.ZERO));
         messages.put("answer to prepare, refused", new ChainMessage.Refused(NEWER, 13));
         messages.put(
                 "answer to prepare, promised",
--- a/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
@@ -9,8 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import martenloom.core.chain.ChainMember.Ballot;
-import martenloom.core.chain.ChainMember.MemberState;
 import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
@@ -69,70 +67,76 @@
     }
 
     private static long storesAfterNaming(Ballot acceptedIn, ClusterState state) {
-        var kept = Optional.of(new MemberState(FIRST, acceptedIn, state));
+        var kept = Optional.of(new PersistentMemberState(FIRST, acceptedIn, state));
         var member = new ChainMember("c", 1, kept, Comparator.naturalOrder(), 0);
         var view = new ChainMessage.View(SECOND, List.of("b", "c"), Map.of());
         var pass = new ChainMessage.Pass(view, FIRST, List.of("c"), state.edition, new byte[0]);
-        member.onRecord(10, "b", pass.encode().bytes());
-        return member.drain().stream().filter(c -> c instanceof ChainMember.Store).count();
+        member.onMessage(10, "b", pass.encode().bytes());
+        return member.drainEffects().stream()
+                .filter(c -> c instanceof ChainEffect.PersistState)
+                .count();
     }
 
     /** The view that the promise was for may need the leaver: it must not end on older news. */
     @Test
     void aPromiseTakesBackTheReleaseOfALeaver() {
-        var kept = new MemberState(FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
+        var kept =
+                new PersistentMemberState(
+                        FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
         var member = new ChainMember("c", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
-        member.onLeave(10);
-        member.onRecord(20, "b", bytes(new ChainMessage.News(SECOND, List.of("b", "a"), 0, 0)));
-        assertTrue(member.released(30));
-        member.drain();
+        member.startLeaving(10);
+        member.onMessage(20, "b", bytes(new ChainMessage.News(SECOND, List.of("b", "a"), 0, 0)));
+        assertTrue(member.mayTerminate(30));
+        member.drainEffects();
         var next = new Ballot(5, "a");
-        member.onRecord(40, "a", bytes(new ChainMessage.Prepare(next, FIRST, 0, Ballot.ZERO)));
+        member.onMessage(40, "a", bytes(new ChainMessage.Prepare(next, FIRST, 0, Ballot.ZERO)));
         carryOutStores(member, 50);
-        assertFalse(member.released(60));
-        member.onRecord(70, "a", bytes(new ChainMessage.News(next, List.of("a", "b"), 0, 0)));
-        assertTrue(member.released(80), "the new view does without it");
+        assertFalse(member.mayTerminate(60));
+        member.onMessage(70, "a", bytes(new ChainMessage.News(next, List.of("a", "b"), 0, 0)));
+        assertTrue(member.mayTerminate(80), "the new view does without it");
     }
 
     /** Its promise was forgotten with its disk: it is a learner, and no part of the majority. */
     @Test
     void whoPromisedAndWasWipedDoesNotCountInTheBid() {
-        var kept = new MemberState(FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
+        var kept =
+                new PersistentMemberState(
+                        FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
         var bidder = new ChainMember("a", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
         bidder.onTick(2_000_000);
-        assertEquals(ChainMember.Mode.BIDDING, bidder.mode());
+        assertEquals(MemberRole.CANDIDATE, bidder.role());
         carryOutStores(bidder, 2_001_000);
-        var ballot = bidder.memberState().promised;
+        var ballot = bidder.memberState().promised();
         var promise = new ChainMessage.Promised(ballot, false, FIRST, 0, new byte[0]);
         var learner = new ChainMessage.Learner(ballot, 77);
-        bidder.onRecord(2_002_000, "b", bytes(promise));
-        bidder.onRecord(2_003_000, "b", bytes(learner));
-        bidder.onRecord(2_004_000, "b", bytes(promise));
+        bidder.onMessage(2_002_000, "b", bytes(promise));
+        bidder.onMessage(2_003_000, "b", bytes(learner));
+        bidder.onMessage(2_004_000, "b", bytes(promise));
         bidder.onTick(2_500_000);
-        assertEquals(
-                ChainMember.Mode.BIDDING, bidder.mode(), "one promise of three is no majority");
-        bidder.onRecord(2_600_000, "c", bytes(promise));
-        assertEquals(ChainMember.Mode.STARTING, bidder.mode());
+        assertEquals(MemberRole.CANDIDATE, bidder.role(), "one promise of three is no majority");
+        bidder.onMessage(2_600_000, "c", bytes(promise));
+        assertEquals(MemberRole.ACTIVATING_VIEW, bidder.role());
         assertEquals(List.of("a", "c", "b"), bidder.chain());
     }
 
     /** Bids that cannot form a view would only take back the promises that another one needs. */
     @Test
     void whoFindsItselfOutsideTheNewestRosterStopsBiddingForAWhile() {
-        var kept = new MemberState(FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
+        var kept =
+                new PersistentMemberState(
+                        FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
         var outsider = new ChainMember("a", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
         outsider.onTick(2_000_000);
         carryOutStores(outsider, 2_001_000);
-        var ballot = outsider.memberState().promised;
+        var ballot = outsider.memberState().promised();
         var newer = ClusterState.founded(List.of("b", "c", "d")).bytes();
         var promise = new ChainMessage.Promised(ballot, false, SECOND, 1, newer);
-        outsider.onRecord(2_002_000, "b", bytes(promise));
-        assertEquals(ChainMember.Mode.IDLE, outsider.mode());
+        outsider.onMessage(2_002_000, "b", bytes(promise));
+        assertEquals(MemberRole.IDLE, outsider.role());
         outsider.onTick(4_900_000);
-        assertEquals(ChainMember.Mode.IDLE, outsider.mode());
+        assertEquals(MemberRole.IDLE, outsider.role());
         outsider.onTick(6_500_000);
-        assertEquals(
-                ChainMember.Mode.BIDDING, outsider.mode(), "the roster may never have counted");
+        assertEquals(MemberRole.CANDIDATE, outsider.role(), "the roster may never have counted");
     }
 
     private static byte[] bytes(ChainMessage message) {
@@ -140,9 +144,9 @@
     }
 
     private static void carryOutStores(ChainMember member, long t) {
-        for (var command : member.drain()) {
-            if (command instanceof ChainMember.Store store) {
-                member.onStored(t, store.token());
+        for (var command : member.drainEffects()) {
+            if (command instanceof ChainEffect.PersistState store) {
+                member.onPersisted(t, store.token());
             }
         }
     }
--- a/core/src/test/java/martenloom/core/chain/ChainStormTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainStormTest.java
@@ -24,7 +24,7 @@
         for (var i = 0; i < 8000 && !w.grown(N); i++) {
             w.step();
         }
-        var n = w.nodes.values().stream().filter(x -> !x.core.get().heading()).findFirst().get();
+        var n = w.nodes.values().stream().filter(x -> !x.core.get().isHead()).findFirst().get();
         for (var x : w.nodes.keySet()) {
             w.cut.add(n.ip + ">" + x);
             w.cut.add(x + ">" + n.ip);
@@ -33,7 +33,7 @@
         while (w.now < t0 + 6_000_000) {
             w.step();
             assertTrue(
-                    n.core.get().staleUs(w.now) > w.now - t0 - 500_000,
+                    n.core.get().stalenessUs(w.now) > w.now - t0 - 500_000,
                     "bidding in vain is not news");
         }
     }
@@ -61,7 +61,7 @@
         while (world.now < cutAt + 6_000_000) {
             world.step();
             for (var ip : pair) {
-                var staleUs = world.nodes.get(ip).core.get().staleUs(world.now);
+                var staleUs = world.nodes.get(ip).core.get().stalenessUs(world.now);
                 assertTrue(
                         staleUs >= world.now - cutAt,
                         ip + " takes itself for " + staleUs + " us old");
@@ -85,11 +85,10 @@
             w.step();
         }
         assertTrue(
-                w.nodes.values().stream()
-                        .noneMatch(n -> n.core.get().mode() == ChainMember.Mode.LEARNING),
+                w.nodes.values().stream().noneMatch(n -> n.core.get().role() == MemberRole.LEARNER),
                 "who is new has learned");
-        w.nodes.values().forEach(n -> n.core.get().onLeastRoster(4));
-        var gone = w.nodes.values().stream().filter(x -> !x.core.get().heading()).limit(2).toList();
+        w.nodes.values().forEach(n -> n.core.get().setMinimumRosterSize(4));
+        var gone = w.nodes.values().stream().filter(x -> !x.core.get().isHead()).limit(2).toList();
         gone.forEach(
                 n -> {
                     w.crash(n, false);
@@ -105,7 +104,7 @@
         }
         assertEquals(
                 N, w.head().committed().roster.size(), "three in the chain are fewer than four");
-        w.nodes.values().forEach(n -> n.core.ifPresent(c -> c.onLeastRoster(3)));
+        w.nodes.values().forEach(n -> n.core.ifPresent(c -> c.setMinimumRosterSize(3)));
         while (w.now < t0 + 4 * ChainMember.GONE_US) {
             w.step();
         }
@@ -155,7 +154,7 @@
         w.until("whole again", 15_000_000, w::whole);
         var heads =
                 w.nodes.values().stream()
-                        .filter(n -> n.core.isPresent() && n.core.get().heading())
+                        .filter(n -> n.core.isPresent() && n.core.get().isHead())
                         .toList();
         assertEquals(1, heads.size(), "one head when calm");
         var s = heads.get(0).core.get().committed();
--- a/core/src/test/java/martenloom/core/chain/ChainWorld.java
+++ b/core/src/test/java/martenloom/core/chain/ChainWorld.java
@@ -32,9 +32,9 @@
 
     static final class Node {
         final String ip;
-        Optional<ChainMember.MemberState> disk = Optional.empty();
+        Optional<PersistentMemberState> disk = Optional.empty();
         Optional<ChainMember> core = Optional.empty();
-        private Optional<ChainMember.Store> syncing = Optional.empty();
+        private Optional<ChainEffect.PersistState> syncing = Optional.empty();
         private long syncedAt;
         long upAt;
 
@@ -55,7 +55,7 @@
 
         private boolean mayEnd(long now) {
             var c = core.orElseThrow();
-            return (leaveTaken || c.mode() == ChainMember.Mode.LEARNING) && c.released(now);
+            return (leaveTaken || c.role() == MemberRole.LEARNER) && c.mayTerminate(now);
         }
 
         /** Whether the state is left to others, so that the disk may go. */
@@ -101,9 +101,9 @@
                 s ->
                         nodes.get(s).disk =
                                 Optional.of(
-                                        new ChainMember.MemberState(
-                                                ChainMember.Ballot.ZERO,
-                                                ChainMember.Ballot.ZERO,
+                                        new PersistentMemberState(
+                                                Ballot.ZERO,
+                                                Ballot.ZERO,
                                                 ClusterState.founded(seeds))));
         nodes.values().forEach(this::boot);
     }
@@ -127,7 +127,7 @@
                 Optional.of(
                         new ChainMember(
                                 n.ip, rnd.nextLong(), n.disk, Comparator.naturalOrder(), now));
-        n.core.get().onLeastRoster(3);
+        n.core.get().setMinimumRosterSize(3);
         n.leaveSinceUs = 0;
         n.leaveTaken = false;
     }
@@ -162,7 +162,7 @@
             n.leaveSinceUs = now;
             n.leaveAskedUs = 0;
             n.forGood = forGood;
-            n.core.get().onLeave(now);
+            n.core.get().startLeaving(now);
         }
     }
 
@@ -192,24 +192,24 @@
                                         : ClusterState.LEAVE_NOW;
                         var c = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, n.ip, "");
                         asked.put(LEAVE_ORDERS + ++order, c);
-                        h.core.get().onAsk(now, LEAVE_ORDERS + order, c);
+                        h.core.get().submit(now, LEAVE_ORDERS + order, c);
                         carryOut(h);
                     });
         }
     }
 
     private void carryOut(Node n) {
-        for (var l = n.core.get().drain(); !l.isEmpty(); l = n.core.get().drain()) {
+        for (var l = n.core.get().drainEffects(); !l.isEmpty(); l = n.core.get().drainEffects()) {
             for (var c : l) {
-                if (c instanceof ChainMember.Send s && nodes.containsKey(s.to())) {
+                if (c instanceof ChainEffect.SendMessage s && nodes.containsKey(s.to())) {
                     post(n.ip, s);
-                } else if (c instanceof ChainMember.Store s) {
+                } else if (c instanceof ChainEffect.PersistState s) {
                     n.syncing = Optional.of(s);
                     n.syncedAt =
                             now
                                     + 1000
                                     + rnd.nextInt(slow && rnd.nextInt(40) == 0 ? 3_000_000 : 5000);
-                } else if (c instanceof ChainMember.Answer a
+                } else if (c instanceof ChainEffect.CompleteRequest a
                         && a.request() >= 0
                         && a.status() == 200) {
                     answered(a.request());
@@ -218,7 +218,7 @@
         }
     }
 
-    private void post(String from, ChainMember.Send s) {
+    private void post(String from, ChainEffect.SendMessage s) {
         if (rnd.nextDouble() < drop || cut.contains(from + ">" + s.to())) {
             return;
         }
@@ -276,7 +276,7 @@
                                 + bodies++
                                 + "}");
         asked.put(++order, c);
-        n.core.get().onAsk(now, order, c);
+        n.core.get().submit(now, order, c);
         carryOut(n);
     }
 
@@ -287,14 +287,14 @@
             var n = nodes.get(m.to);
             if (n != null && n.core.isPresent() && !cut.contains(m.from + ">" + m.to)) {
                 receivedBytes.merge(m.to, (long) m.record.length, Long::sum);
-                n.core.get().onRecord(now, m.from, m.record);
+                n.core.get().onMessage(now, m.from, m.record);
                 carryOut(n);
             }
         }
         List.copyOf(nodes.values()).forEach(this::step);
         if (!wiped.isEmpty()
                 && nodes.get(wiped).core.isPresent()
-                && nodes.get(wiped).core.get().mode() != ChainMember.Mode.LEARNING) {
+                && nodes.get(wiped).core.get().role() != MemberRole.LEARNER) {
             wiped = "";
         }
     }
@@ -307,11 +307,12 @@
             var s = n.syncing.get();
             n.syncing = Optional.empty();
             n.disk = Optional.of(s.memberState());
-            n.core.get().onStored(now, s.token());
+            n.core.get().onPersisted(now, s.token());
             carryOut(n);
         }
         if (n.core.isPresent() && now % 50_000 == 0) {
-            n.core.get().onKnown(nodes.keySet().stream().filter(x -> !x.equals(n.ip)).toList());
+            n.core.get()
+                    .setKnownMembers(nodes.keySet().stream().filter(x -> !x.equals(n.ip)).toList());
             n.core.get().onTick(now);
             carryOut(n);
         }
@@ -331,12 +332,18 @@
                                 n ->
                                         n.core.isPresent()
                                                 && !n.leaving()
-                                                && n.core.get().mode() != ChainMember.Mode.LEARNING
-                                                && n.core.get().memberState().state.roster.stream()
+                                                && n.core.get().role() != MemberRole.LEARNER
+                                                && n
+                                                        .core
+                                                        .get()
+                                                        .memberState()
+                                                        .state()
+                                                        .roster
+                                                        .stream()
                                                         .noneMatch(removed::contains)
                                                 && n.core.get()
                                                         .memberState()
-                                                        .state
+                                                        .state()
                                                         .roster
                                                         .contains(n.ip));
     }
@@ -389,7 +396,7 @@
 
     List<Node> heads() {
         return nodes.values().stream()
-                .filter(n -> n.core.isPresent() && n.core.get().heading())
+                .filter(n -> n.core.isPresent() && n.core.get().isHead())
                 .toList();
     }
 
@@ -464,16 +471,16 @@
                                         + " "
                                         + n.core.map(
                                                         c ->
-                                                                c.mode()
+                                                                c.role()
                                                                         + " chain "
                                                                         + c.chain()
                                                                         + " roster "
                                                                         + c.memberState()
-                                                                                .state
+                                                                                .state()
                                                                                 .roster
                                                                         + " departed "
                                                                         + c.memberState()
-                                                                                .state
+                                                                                .state()
                                                                                 .departed)
                                                 .orElse("down"))
                 .collect(Collectors.joining("\n", "\n", ""));
--- a/core/src/test/java/martenloom/core/chain/MembershipTest.java
+++ b/core/src/test/java/martenloom/core/chain/MembershipTest.java
@@ -33,7 +33,7 @@
 
     private static ChainWorld.Node follower(ChainWorld w) {
         return w.nodes.values().stream()
-                .filter(n -> n.core.isPresent() && !n.core.get().heading() && !n.leaving())
+                .filter(n -> n.core.isPresent() && !n.core.get().isHead() && !n.leaving())
                 .findFirst()
                 .orElseThrow();
     }
@@ -219,7 +219,7 @@
             var rosters =
                     nodes.stream()
                             .flatMap(n -> n.core.stream())
-                            .map(c -> Set.copyOf(c.memberState().state.roster));
+                            .map(c -> Set.copyOf(c.memberState().state().roster));
             assertTrue(mayShrink || rosters.allMatch(roster::equals), world.toString());
         }
         assertTrue(world.whole(), world.toString());
@@ -339,7 +339,7 @@
         for (var i = 0; i < 4000; i++) {
             w.step();
             assertTrue(
-                    old.stream().noneMatch(n -> n.core.isPresent() && n.core.get().heading()),
+                    old.stream().noneMatch(n -> n.core.isPresent() && n.core.get().isHead()),
                     w.toString());
         }
         w.cut.clear();
@@ -360,7 +360,7 @@
                             w.nodes.values().stream()
                                     .anyMatch(x -> x.core.get().committed().roster.contains(n.ip));
                     assertTrue(
-                            !counts || n.core.get().memberState().state.roster.contains(n.ip),
+                            !counts || n.core.get().memberState().state().roster.contains(n.ip),
                             "it accepted the write that names it");
                     return counts;
                 });
--- a/core/src/test/java/martenloom/core/chain/ProofTest.java
+++ b/core/src/test/java/martenloom/core/chain/ProofTest.java
@@ -32,13 +32,13 @@
     private long now = 1_000_000;
 
     private void drain(String ip) {
-        for (var l = all.get(ip).drain(); !l.isEmpty(); l = all.get(ip).drain()) {
+        for (var l = all.get(ip).drainEffects(); !l.isEmpty(); l = all.get(ip).drainEffects()) {
             for (var c : l) {
-                if (c instanceof ChainMember.Send s && all.containsKey(s.to())) {
+                if (c instanceof ChainEffect.SendMessage s && all.containsKey(s.to())) {
                     mails.add(new Mail(now + HOP_US, ip, s.to(), s.record()));
-                } else if (c instanceof ChainMember.Store s) {
-                    all.get(ip).onStored(now, s.token());
-                } else if (c instanceof ChainMember.Answer a) {
+                } else if (c instanceof ChainEffect.PersistState s) {
+                    all.get(ip).onPersisted(now, s.token());
+                } else if (c instanceof ChainEffect.CompleteRequest a) {
                     answers.put(a.request(), a.status());
                 }
             }
@@ -50,7 +50,7 @@
         while (!mails.isEmpty() && mails.peek().at <= now) {
             var m = mails.poll();
             if (!cut.contains(m.from) && !cut.contains(m.to)) {
-                all.get(m.to).onRecord(now, m.from, m.record);
+                all.get(m.to).onMessage(now, m.from, m.record);
                 drain(m.to);
             }
         }
@@ -71,20 +71,20 @@
                                         n,
                                         n.hashCode(),
                                         Optional.of(
-                                                new ChainMember.MemberState(
-                                                        ChainMember.Ballot.ZERO,
-                                                        ChainMember.Ballot.ZERO,
+                                                new PersistentMemberState(
+                                                        Ballot.ZERO,
+                                                        Ballot.ZERO,
                                                         ClusterState.founded(names))),
                                         Comparator.naturalOrder(),
                                         now)));
         for (var i = 0; i < 2000; i++) {
             step();
         }
-        return names.stream().filter(n -> all.get(n).heading()).findFirst().orElseThrow();
+        return names.stream().filter(n -> all.get(n).isHead()).findFirst().orElseThrow();
     }
 
     private void ask(String head, long request, ClusterState.Act a, String body) {
-        all.get(head).onAsk(now, request, new ClusterState.Change(a, 0, "", body));
+        all.get(head).submit(now, request, new ClusterState.Change(a, 0, "", body));
         drain(head);
     }
 
@@ -130,7 +130,7 @@
         assertEquals(503, answers.get(1L));
         assertTrue(
                 all.entrySet().stream()
-                        .anyMatch(e -> !e.getKey().equals(h) && e.getValue().heading()),
+                        .anyMatch(e -> !e.getKey().equals(h) && e.getValue().isHead()),
                 "another heads the rest");
     }
 
--- a/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
@@ -14,7 +14,8 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
@@ -34,18 +35,14 @@
         states.put("core state, every part filled", FilledState.build().bytes());
         states.put(
                 "member state, founded",
-                new ChainMember.MemberState(
-                                ChainMember.Ballot.ZERO, ChainMember.Ballot.ZERO, founded)
-                        .bytes());
-        states.put("member state, every part filled", filledMember().bytes());
+                new PersistentMemberState(Ballot.ZERO, Ballot.ZERO, founded).encode());
+        states.put("member state, every part filled", filledMember().encode());
         return states;
     }
 
-    private static ChainMember.MemberState filledMember() {
-        return new ChainMember.MemberState(
-                new ChainMember.Ballot(12, "10.1.0.1"),
-                new ChainMember.Ballot(11, "10.0.0.1"),
-                FilledState.build());
+    private static PersistentMemberState filledMember() {
+        return new PersistentMemberState(
+                new Ballot(12, "10.1.0.1"), new Ballot(11, "10.0.0.1"), FilledState.build());
     }
 
     /** Each change as the daemons send it, by its name in the recorded file. */
@@ -180,16 +177,16 @@
                                         recorded,
                                         name.startsWith("core state")
                                                 ? ClusterState.of(recorded).bytes()
-                                                : ChainMember.MemberState.of(recorded).bytes()));
+                                                : PersistentMemberState.decode(recorded).encode()));
     }
 
     @Test
     void noPartOfTheFilledStateIsEmpty() {
         var recorded = GoldenFile.read(STATES).get("member state, every part filled");
-        var member = ChainMember.MemberState.of(recorded);
-        assertEquals(new ChainMember.Ballot(12, "10.1.0.1"), member.promised);
-        assertEquals(new ChainMember.Ballot(11, "10.0.0.1"), member.accepted);
-        var state = member.state;
+        var member = PersistentMemberState.decode(recorded);
+        assertEquals(new Ballot(12, "10.1.0.1"), member.promised());
+        assertEquals(new Ballot(11, "10.0.0.1"), member.accepted());
+        var state = member.state();
         assertEquals(List.of("10.0.0.1", "10.1.0.1", "10.2.0.1", "10.3.0.1"), state.roster);
         assertEquals(Set.of("10.2.0.1", "10.3.0.1"), state.departed);
         assertEquals(2, state.revision);
--- a/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
@@ -16,7 +16,8 @@
 import java.util.zip.CRC32;
 import martenloom.common.clock.Clocks;
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
@@ -51,15 +52,15 @@
     @TempDir private Path folder;
 
     /** What the member keeps as its versions 1, 2 and 3. */
-    private static List<ChainMember.MemberState> versions() {
+    private static List<PersistentMemberState> versions() {
         var founded = ClusterState.founded(List.of("10.0.0.1", "10.1.0.1"));
-        var none = ChainMember.Ballot.ZERO;
-        var older = new ChainMember.Ballot(11, "10.0.0.1");
-        var newer = new ChainMember.Ballot(12, "10.1.0.1");
+        var none = Ballot.ZERO;
+        var older = new Ballot(11, "10.0.0.1");
+        var newer = new Ballot(12, "10.1.0.1");
         return List.of(
-                new ChainMember.MemberState(none, none, founded),
-                new ChainMember.MemberState(older, none, founded),
-                new ChainMember.MemberState(newer, older, FilledState.build()));
+                new PersistentMemberState(none, none, founded),
+                new PersistentMemberState(older, none, founded),
+                new PersistentMemberState(newer, older, FilledState.build()));
     }
 
     /** The note of the most edges and homes ever known, and of replicas of every kind. */
@@ -103,7 +104,7 @@
         var files = new LinkedHashMap<String, byte[]>();
         for (var version : versions()) {
             var fromMs = System.currentTimeMillis();
-            store.keep(version.bytes());
+            store.keep(version.encode());
             assertEquals(1, real.names().size(), "older versions are removed");
             var name = real.names().get(0);
             var file = real.read(name);
@@ -146,12 +147,12 @@
         return Arrays.copyOfRange(file, HEAD_BYTES, file.length);
     }
 
-    private static void assertState(ChainMember.MemberState expected, Optional<byte[]> found) {
-        var member = ChainMember.MemberState.of(found.orElseThrow());
-        assertEquals(expected.promised, member.promised);
-        assertEquals(expected.accepted, member.accepted);
-        GoldenFile.assertSameBytes("state", expected.state.bytes(), member.state.bytes());
-        GoldenFile.assertSameBytes("member", expected.bytes(), found.get());
+    private static void assertState(PersistentMemberState expected, Optional<byte[]> found) {
+        var member = PersistentMemberState.decode(found.orElseThrow());
+        assertEquals(expected.promised(), member.promised());
+        assertEquals(expected.accepted(), member.accepted());
+        GoldenFile.assertSameBytes("state", expected.state().bytes(), member.state().bytes());
+        GoldenFile.assertSameBytes("member", expected.encode(), found.get());
     }
 
     @Test
@@ -182,7 +183,7 @@
         assertEquals(List.of(THIRD, FOURTH + ".aside", NOTE), names());
         var recordedNote = content(GoldenFile.read(WRITTEN).get(NOTE));
         GoldenFile.assertSameBytes(NOTE, recordedNote, store.note(NOTE).orElseThrow());
-        store.keep(versions().get(0).bytes());
+        store.keep(versions().get(0).encode());
         assertEquals(List.of(FOURTH, NOTE), names());
     }
 
@@ -195,7 +196,7 @@
         assertEquals(List.of(SECOND, THIRD, NOTE), names(), "nothing is removed");
         var recordedNote = content(GoldenFile.read(WRITTEN).get(NOTE));
         GoldenFile.assertSameBytes(NOTE, recordedNote, store.note(NOTE).orElseThrow());
-        store.keep(versions().get(2).bytes());
+        store.keep(versions().get(2).encode());
         assertEquals(List.of(FOURTH, NOTE), names());
         var healed = new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
         assertState(versions().get(2), healed.load());
@@ -208,7 +209,7 @@
         assertTrue(store.load().isEmpty());
         assertTrue(store.damaged());
         assertTrue(store.note(NOTE).isEmpty());
-        store.keep(versions().get(2).bytes());
+        store.keep(versions().get(2).encode());
         assertEquals(List.of(FOURTH, NOTE), names());
     }
 }
--- a/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -12,7 +12,10 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import martenloom.common.codec.RecordReader;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
@@ -23,7 +26,7 @@
 
     private final List<String> granted = new ArrayList<>();
     private final Map<Long, BiConsumer<Integer, String>> asked = new HashMap<>();
-    private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
+    private final Deque<ChainEffect.PersistState> stores = new ArrayDeque<>();
     private final ChainMember chain;
     private final RoleLeaseService duties;
     private boolean stalled;
@@ -32,17 +35,15 @@
 
     RoleLeaseServiceTest() {
         var founded =
-                new ChainMember.MemberState(
-                        ChainMember.Ballot.ZERO,
-                        ChainMember.Ballot.ZERO,
-                        ClusterState.founded(List.of("a")));
+                new PersistentMemberState(
+                        Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of("a")));
         chain = new ChainMember("a", 1, Optional.of(founded), Comparator.naturalOrder(), nowUs);
         duties = new RoleLeaseService(chain, this::ask, () -> nowUs);
     }
 
     private void ask(ClusterState.Change change, BiConsumer<Integer, String> reply) {
         asked.put(++requests, reply);
-        chain.onAsk(nowUs, requests, change);
+        chain.submit(nowUs, requests, change);
     }
 
     private void run(long us) {
@@ -55,18 +56,18 @@
     }
 
     private void carryOut() {
-        for (var l = chain.drain(); !l.isEmpty(); l = chain.drain()) {
+        for (var l = chain.drainEffects(); !l.isEmpty(); l = chain.drainEffects()) {
             l.forEach(this::carryOut);
             while (!stalled && !stores.isEmpty()) {
-                chain.onStored(nowUs, stores.poll().token());
+                chain.onPersisted(nowUs, stores.poll().token());
             }
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Store store) {
+    private void carryOut(ChainEffect command) {
+        if (command instanceof ChainEffect.PersistState store) {
             stores.add(store);
-        } else if (command instanceof ChainMember.Answer answer) {
+        } else if (command instanceof ChainEffect.CompleteRequest answer) {
             Optional.ofNullable(asked.remove(answer.request()))
                     .ifPresent(r -> r.accept(answer.status(), answer.text()));
         }
@@ -98,7 +99,7 @@
         run(400_000);
         assertEquals(List.of("x 1"), granted, "nobody is renewed meanwhile");
         stalled = false;
-        chain.onStored(nowUs, stores.poll().token());
+        chain.onPersisted(nowUs, stores.poll().token());
         run(200_000);
         assertEquals(List.of("x 1", "y 2"), granted);
     }
--- a/simulation/src/main/java/martenloom/simulation/Invariants.java
+++ b/simulation/src/main/java/martenloom/simulation/Invariants.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.Ballot;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -18,7 +18,7 @@
 
     private final TreeMap<Long, ClusterState> committed = new TreeMap<>();
     private final Map<Long, byte[]> bytes = new HashMap<>();
-    private final Map<ChainMember.Ballot, Acknowledger> acknowledgers = new HashMap<>();
+    private final Map<Ballot, Acknowledger> acknowledgers = new HashMap<>();
     private final ConfigurationHistory configurations = new ConfigurationHistory();
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
@@ -80,7 +80,7 @@
         return roster.size() / 2 + 1;
     }
 
-    void acknowledged(ChainMember.Ballot view, String address, long life) {
+    void acknowledged(Ballot view, String address, long life) {
         var mine = new Acknowledger(address, life);
         var known = acknowledgers.putIfAbsent(view, mine);
         if (known != null && !known.equals(mine)) {
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -43,7 +43,7 @@
             }
             passedOnUs.put(key, process.nowUs());
         }
-        if (process.chain().heading()) {
+        if (process.chain().isHead()) {
             duties.want(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
             return;
         }
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
@@ -7,7 +7,7 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -29,12 +29,12 @@
 
     void forward(ClusterState.Change change, Reply reply) {
         var chain = process.chain();
-        if (chain.heading()) {
+        if (chain.isHead()) {
             askHere(change, reply);
             return;
         }
         var head = process.connection(chain.head());
-        if (head.isEmpty() || !chain.fresh(process.nowUs())) {
+        if (head.isEmpty() || !chain.isFresh(process.nowUs())) {
             reply.accept(Reply.UNAVAILABLE, "no head is known");
             return;
         }
@@ -50,10 +50,10 @@
     void askHere(ClusterState.Change change, Reply reply) {
         var id = ++lastLocal;
         local.put(id, reply);
-        process.chain().onAsk(process.nowUs(), id, change);
+        process.chain().submit(process.nowUs(), id, change);
     }
 
-    void onChainAnswer(ChainMember.Answer answer) {
+    void onChainAnswer(ChainEffect.CompleteRequest answer) {
         Optional.ofNullable(local.remove(answer.request()))
                 .ifPresent(r -> r.accept(answer.status(), answer.text()));
     }
--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/Process.java
@@ -12,7 +12,11 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.error.MartenloomException;
 import martenloom.common.fleet.RecordType;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.MemberRole;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
@@ -43,7 +47,7 @@
     private final LeaseForwarder leases;
     private final RoleLeaseService duties;
     private final Set<String> dials = new TreeSet<>();
-    private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
+    private final Deque<ChainEffect.PersistState> stores = new ArrayDeque<>();
     private final Map<Object, Long> readyAtUs = new IdentityHashMap<>();
     private final long startedUs;
     private boolean running = true;
@@ -58,15 +62,13 @@
         startedUs = nowUs();
         disk = new VersionedStore(machine.disk());
         var seeds = environment.seeds();
-        var kept = disk.load().map(ChainMember.MemberState::of);
+        var kept = disk.load().map(PersistentMemberState::decode);
         if (kept.isEmpty() && bootstrap && seeds.contains(address())) {
             kept =
                     Optional.of(
-                            new ChainMember.MemberState(
-                                    ChainMember.Ballot.ZERO,
-                                    ChainMember.Ballot.ZERO,
-                                    ClusterState.founded(seeds)));
-            disk.keep(kept.get().bytes());
+                            new PersistentMemberState(
+                                    Ballot.ZERO, Ballot.ZERO, ClusterState.founded(seeds)));
+            disk.keep(kept.get().encode());
         }
         chain =
                 new ChainMember(
@@ -82,8 +84,8 @@
                         (change, reply) -> orders.askHere(change, reply::accept),
                         this::nowUs);
         leases = new LeaseForwarder(this, duties);
-        chain.onLeastRoster(environment.leastRoster());
-        kept.ifPresent(k -> k.state.roster.forEach(this::dial));
+        chain.setMinimumRosterSize(environment.leastRoster());
+        kept.ifPresent(k -> k.state().roster.forEach(this::dial));
         seeds.forEach(this::dial);
         after(environment.disks().between(0, TICK_US), this::tick);
         after(environment.disks().between(0, HELLO_US), this::hello);
@@ -149,7 +151,7 @@
         dials.addAll(chain.committed().roster);
         dials.remove(address());
         environment.network().maintain(this, dials);
-        chain.onKnown(dials);
+        chain.setKnownMembers(dials);
         chain.onTick(nowUs());
         carryOut();
         duties.tick(nowUs());
@@ -182,7 +184,7 @@
             case RecordType.ORDER_RESPONSE -> orders.onAnswer(by, in);
             case RecordType.LEASE_REQUEST -> leases.onWant(by, in);
             case RecordType.LEASE_GRANT -> leases.onGrant(by, in);
-            default -> chain.onRecord(nowUs(), by.peerOf(this).address(), record);
+            default -> chain.onMessage(nowUs(), by.peerOf(this).address(), record);
         }
     }
 
@@ -210,7 +212,7 @@
         if (!leaving) {
             leaving = true;
             leaveSinceUs = nowUs();
-            chain.onLeave(nowUs());
+            chain.startLeaving(nowUs());
             leaveStep(end);
         }
     }
@@ -228,8 +230,8 @@
     }
 
     private boolean mayEnd() {
-        var told = leaveTaken || chain.mode() == ChainMember.Mode.LEARNING;
-        return told && chain.released(nowUs());
+        var told = leaveTaken || chain.role() == MemberRole.LEARNER;
+        return told && chain.mayTerminate(nowUs());
     }
 
     // ---- orders of callers
@@ -278,25 +280,27 @@
     }
 
     private void carryOut() {
-        for (var commands = chain.drain(); !commands.isEmpty(); commands = chain.drain()) {
+        for (var commands = chain.drainEffects();
+                !commands.isEmpty();
+                commands = chain.drainEffects()) {
             commands.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Send send) {
+    private void carryOut(ChainEffect command) {
+        if (command instanceof ChainEffect.SendMessage send) {
             send(send.to(), send.record());
-        } else if (command instanceof ChainMember.Store store) {
+        } else if (command instanceof ChainEffect.PersistState store) {
             stores.add(store);
             if (stores.size() == 1) {
                 beginStore();
             }
-        } else if (command instanceof ChainMember.Answer answer) {
+        } else if (command instanceof ChainEffect.CompleteRequest answer) {
             if (answer.status() == 200) {
                 environment.invariants().acknowledged(chain.view(), address(), startedUs);
             }
             orders.onChainAnswer(answer);
-        } else if (command instanceof ChainMember.Committed committed) {
+        } else if (command instanceof ChainEffect.StateCommitted committed) {
             environment.invariants().committed(address(), committed.state());
         }
     }
@@ -318,7 +322,7 @@
         }
         var store = stores.peek();
         try {
-            disk.keep(store.memberState().bytes());
+            disk.keep(store.memberState().encode());
         } catch (MartenloomException refused) {
             environment.agenda().after(DISK_RETRY_US, this::finishStore);
             return;
@@ -327,7 +331,7 @@
         if (!stores.isEmpty()) {
             beginStore();
         }
-        whenAwake(disk, () -> chain.onStored(nowUs(), store.token()));
+        whenAwake(disk, () -> chain.onPersisted(nowUs(), store.token()));
     }
 
     /** Ends this life; a write under way ends between any two of its steps. */
@@ -338,7 +342,7 @@
         }
         machine.disk().endAfter(random.below(MOST_DISK_STEPS));
         try {
-            disk.keep(stores.peek().memberState().bytes());
+            disk.keep(stores.peek().memberState().encode());
         } catch (SimulatedDisk.Ended | MartenloomException unfinished) {
             // This is what was to be brought about: the write stays as it is.
         }
--- a/simulation/src/main/java/martenloom/simulation/World.java
+++ b/simulation/src/main/java/martenloom/simulation/World.java
@@ -135,7 +135,7 @@
 
     private boolean headsAll(Process process) {
         var chain = process.chain();
-        return chain.heading()
+        return chain.isHead()
                 && chain.chain().size() == schedule.members()
                 && chain.committed().roster.size() == schedule.members();
     }
@@ -238,13 +238,13 @@
                         p ->
                                 text.append(p.address())
                                         .append(' ')
-                                        .append(p.chain().mode())
+                                        .append(p.chain().role().label())
                                         .append(" view ")
                                         .append(p.chain().view())
                                         .append(" edition ")
                                         .append(p.chain().committed().edition)
                                         .append(" roster ")
-                                        .append(p.chain().memberState().state.roster)
+                                        .append(p.chain().memberState().state().roster)
                                         .append("; "));
         return text.toString();
     }
@@ -285,7 +285,7 @@
     }
 
     private boolean heads(String address) {
-        return running(address).filter(p -> p.chain().heading()).isPresent();
+        return running(address).filter(p -> p.chain().isHead()).isPresent();
     }
 
     Machine machine(String address) {
