--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -298,7 +298,7 @@
     @Override
     public void onRecord(PeerLinks.Link link, byte[] record) {
         var type = record[0];
-        if (type <= ChainMember.LAST_TYPE) {
+        if (type <= ChainMember.HIGHEST_MESSAGE_TYPE) {
             chain.onMessage(Clocks.nowUs(), link.peer, record);
             carryOut();
             return;
--- /dev/null
+++ b/core/src/main/java/martenloom/core/chain/BallotAcceptor.java
@@ -0,0 +1,81 @@
+package martenloom.core.chain;
+
+import martenloom.core.chain.ElectionMessage.LearnerOffer;
+import martenloom.core.chain.ElectionMessage.Prepare;
+import martenloom.core.chain.ElectionMessage.Promise;
+import martenloom.core.chain.ElectionMessage.PromiseRejected;
+
+/**
+ * The acceptor's side of agreeing on a view: answers the requests of candidates for a promise.
+ *
+ * <p>Invariants: a promise is durable before it is sent; no promise is given to a ballot below one
+ * promised; a learner, which may have forgotten its promises, gives none.
+ */
+final class BallotAcceptor {
+    private final MemberContext member;
+    private final ReadBarrier barrier;
+
+    BallotAcceptor(MemberContext member, ReadBarrier barrier) {
+        this.member = member;
+        this.barrier = barrier;
+    }
+
+    /** Answers a candidate; the disk must be free. */
+    void onPrepare(String from, Prepare prepare) {
+        var ballot = prepare.ballot();
+        member.observeBallotNumber(ballot.number());
+        if (member.is(MemberRole.LEARNER)) {
+            if (!member.departure().isLeaving()) {
+                member.send(from, new LearnerOffer(ballot, member.incarnation()));
+            }
+            return;
+        }
+        if (ballot.compareTo(member.promised()) < 0
+                || isInGoodContact(from, prepare.handedOver())) {
+            member.send(from, new PromiseRejected(ballot, member.promised().number()));
+            return;
+        }
+        var isRepeated = ballot.equals(member.promised());
+        if (isRepeated && member.is(MemberRole.FOLLOWER)) {
+            return;
+        }
+        member.contact().heard(member.nowUs());
+        if (isRepeated) {
+            promise(from, prepare);
+            return;
+        }
+        member.become(MemberRole.IDLE);
+        member.persistPromise(ballot, () -> promise(from, prepare));
+    }
+
+    private void promise(String to, Prepare prepare) {
+        member.departure().revokeRelease();
+        var state = member.state();
+        var order = member.accepted().compareTo(prepare.accepted());
+        var isNewer = order > 0 || order == 0 && state.edition > prepare.edition();
+        member.send(
+                to,
+                new Promise(
+                        prepare.ballot(),
+                        member.departure().isLeaving(),
+                        member.accepted(),
+                        state.edition,
+                        isNewer ? state.bytes() : ChainMessage.NO_STATE));
+    }
+
+    /**
+     * A member in good contact with its head gives no promise to another: one that cannot hear must
+     * not upset the rest. A head that hands over frees the members of its view from this.
+     */
+    private boolean isInGoodContact(String from, Ballot handedOver) {
+        if (handedOver.number() > 0 && handedOver.equals(member.promised())) {
+            return false;
+        }
+        return switch (member.role()) {
+            case FOLLOWER ->
+                    !from.equals(member.view().head()) && member.contact().isGood(member.nowUs());
+            case HEAD -> HeadContact.isGood(member.nowUs(), barrier.acknowledgedUs());
+            default -> false;
+        };
+    }
+}
--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -1,133 +1,131 @@
 package martenloom.core.chain;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
-import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
 import martenloom.core.state.ClusterState;
 
 /**
- * The chain and its view, as one owner of events that answers with commands; it does no input or
- * output and reads no clock. Every member keeps a member state on disk: the highest view it has
- * promised to, the view in which it last accepted a state, and that state. A view is named by a
- * ballot and is agreed when a majority of the roster has promised it; the one who asked then heads
- * a chain of exactly those who promised, passes the newest state found among them down it, and the
- * tail's answer makes the view active. Writes go the same way, one at a time: each member syncs,
- * the tail acknowledges. Since every member of the chain syncs each write and a chain holds a
- * majority, any later view finds it. A member with a wiped disk promises nothing; it comes back as
- * a learner of a new view, under a number drawn at its start, so that nothing meant for its former
- * life can reach it. See docs/design.md for the argument.
+ * One member of the chain that replicates the cluster state: time, messages and requests in, {@link
+ * ChainEffect}s out. It does no input or output, reads no clock, and runs on one thread, that of
+ * its owner, which carries the effects out after each call.
  *
- * <p>The parts: ViewAgreement forms views, Replication takes states down the chain, ReadBarrier
- * proves that a head still is one, and Membership decides who belongs to chain and roster. This
- * class is what the owner sees of them: it takes time, records and orders in, and does one write at
- * a time.
+ * <p>Every member keeps on disk the highest view it has promised to take part in, the view in which
+ * it last accepted a state, and that state. A view is named by a ballot and is agreed when a
+ * majority of the roster has promised it; the candidate then heads a chain of exactly those who
+ * promised, sends the newest state found among them down it, and the tail's acknowledgement makes
+ * the view active. Writes go the same way, one at a time: each member syncs, the tail acknowledges.
+ * The states of a member and their transitions are those of {@link MemberRole}.
+ *
+ * <p>Invariants: every member of a chain syncs each write and a chain holds a majority, so any
+ * later view finds what was acknowledged; two views never both acknowledge, for the later one's
+ * majority of promises includes a member of the earlier chain, which rejects from then on. A member
+ * with a wiped disk promises nothing; it comes back as a learner of a new view, under an
+ * incarnation drawn at its start, so that nothing meant for a former one can reach it. See
+ * docs/design.md for the argument.
+ *
+ * <p>The parts: {@link BallotAcceptor} and {@link ViewElection} agree on views, {@link Replication}
+ * takes states down the chain, {@link ReadBarrier} proves that a head still is one, {@link
+ * Membership} decides who belongs to chain and roster, and {@link RequestPipeline} decides
+ * requests.
  */
 public final class ChainMember {
     /** The highest type of a record of the chain; higher numbers belong to others. */
-    public static final int LAST_TYPE = ChainMessage.HANDOVER;
+    public static final int HIGHEST_MESSAGE_TYPE = ChainMessageCodec.HIGHEST_TYPE;
 
-    /** A member of an odd roster that was missed for so long goes, though nobody replaced it. */
-    public static final long GONE_US = Membership.GONE_US;
+    /** A member of an odd roster that was missing for so long goes, though nobody replaced it. */
+    public static final long REMOVE_ABSENT_AFTER_US = Membership.REMOVE_ABSENT_AFTER_US;
 
     /**
      * A member that has had no proof of a majority for longer than this neither hands out what it
-     * knows as current nor passes orders on. See docs/design.md for the derivation.
+     * knows as current nor forwards requests. See docs/design.md for the derivation.
      */
-    public static final long STALE_US = 1_500_000;
-
-    private static final long HEARTBEAT_US = 200_000;
-    private static final long NEWCOMERS_JOIN_US = 2_500_000;
-    private static final long FIRST_BID_US = 150_000;
-    private static final long SICK_HEAD_RESTS_US = 2_000_000;
-    private static final int QUEUE = 256;
-    private static final int UNAVAILABLE = 503;
-
-    /** The number of an order that the head gives itself. */
-    private static final long OWN_ASK = -1;
+    public static final long MAX_STALENESS_US = 1_500_000;
 
-    private record Asked(long request, ClusterState.Change change) {}
-
-    /** The write that is under way: whose it is, since when, and what its caller is told. */
-    private record Write(long request, long sinceUs, String text) {}
+    private static final long HEARTBEAT_INTERVAL_US = 200_000;
+    private static final long STALLED_HEAD_RESTS_US = 2_000_000;
 
     private final MemberContext member;
     private final Membership membership;
-    private final ViewAgreement agreement;
-    private final Replication replication;
     private final ReadBarrier barrier;
+    private final Replication replication;
+    private final BallotAcceptor acceptor;
+    private final ViewElection election;
     private final Heartbeats heartbeats;
-    private final NewsExchange news;
-    private final Deque<Asked> queue = new ArrayDeque<>();
-    private Optional<Write> write = Optional.empty();
-    private Supplier<String> survey = () -> "";
-    private long leavingSinceUs;
-    private long clockSinceUs;
-    private long awayUs;
+    private final ViewAnnouncements announcements;
+    private final ReplicatedJobClock jobClock;
+    private final RequestPipeline requests;
 
+    /**
+     * @param address names this member in rosters, chains and ballots
+     * @param incarnation drawn at random at the start of the process
+     * @param disk what the disk holds; empty when it was wiped or is new
+     * @param proximity the order of the chain: near members first
+     */
     public ChainMember(
-            String me,
-            long nonce,
+            String address,
+            long incarnation,
             Optional<PersistentMemberState> disk,
-            Comparator<String> near,
-            long now) {
-        member = new MemberContext(me, nonce, disk, near, now);
+            Comparator<String> proximity,
+            long nowUs) {
+        member =
+                new MemberContext(address, incarnation, disk, proximity, nowUs, this::onRoleChange);
         membership = new Membership(member);
-        agreement = new ViewAgreement(member, membership, this);
-        replication = new Replication(member, this);
-        barrier = new ReadBarrier(member.output::add);
-        heartbeats = new Heartbeats(member, barrier, replication, this);
-        news = new NewsExchange(member, barrier, membership);
-        clockSinceUs = now;
-        member.quietUntilUs = now + FIRST_BID_US;
+        barrier = new ReadBarrier(member);
+        replication = new Replication(member, this::onViewAccepted, this::onWriteAccepted);
+        acceptor = new BallotAcceptor(member, barrier);
+        election = new ViewElection(member, membership, replication);
+        heartbeats = new Heartbeats(member, barrier);
+        announcements = new ViewAnnouncements(member, barrier, membership);
+        jobClock = new ReplicatedJobClock(nowUs);
+        requests = new RequestPipeline(member, barrier, replication, jobClock);
     }
 
     // ---- what others may look at
 
     public MemberRole role() {
-        return member.mode;
+        return member.role();
+    }
+
+    public boolean isHead() {
+        return member.isHead();
     }
 
+    /** The newest state that this member knows to be committed. */
     public ClusterState committed() {
-        return member.committed;
+        return member.committed().state();
     }
 
+    /** What is durable at this member, committed or not. */
     public PersistentMemberState memberState() {
-        return member.disk.kept();
+        return member.disk().kept();
     }
 
+    /** The newest chain this member knows of, the head first. */
     public List<String> chain() {
-        return isHead() ? member.chain : member.chainSeen;
+        return member.view().chain();
     }
 
+    /** The view it takes part in, or took part in last. */
     public Ballot view() {
-        return member.view;
+        return member.view().ballot();
     }
 
+    /** The newest head this member knows of; empty before it has heard of any. */
     public String head() {
-        return isHead() ? member.me : member.headSeen;
-    }
-
-    /** The job clock: goes on from what the state says, by this member's own steady clock. */
-    public long jobClockUs(long t) {
-        return member.state().jobTable.clockUs + Math.max(0, t - clockSinceUs) + awayUs;
-    }
-
-    /** Told at a start: how long this member was away, as far as is known. */
-    public void setDowntimeUs(long us) {
-        awayUs = us;
+        return member.view().head();
     }
 
-    public boolean isHead() {
-        return member.heading();
+    /** When the view headed by this member became active. */
+    public long headSinceUs() {
+        return member.view().sinceUs();
     }
 
-    public long headSinceUs() {
-        return member.viewSinceUs;
+    /** The job clock: goes on from what the state says, by this member's own steady clock. */
+    public long jobClockUs(long nowUs) {
+        return jobClock.timeUs(member.state(), nowUs);
     }
 
     /**
@@ -135,309 +133,239 @@
      * of the newest heartbeat that ran the whole chain, as the head knows it, or as it told its
      * followers with the age that it had then.
      */
-    public long stalenessUs(long t) {
-        return t - (isHead() ? barrier.provenUs() : member.toldUs);
+    public long stalenessUs(long nowUs) {
+        return nowUs - (isHead() ? barrier.provenUs() : member.contact().majorityProvenUs());
     }
 
     /** Whether what this member knows may be handed out as current. */
-    public boolean isFresh(long t) {
-        return stalenessUs(t) <= STALE_US;
+    public boolean isFresh(long nowUs) {
+        return stalenessUs(nowUs) <= MAX_STALENESS_US;
     }
 
     /**
-     * When the newest heartbeat that came back was sent: until then at least, no other view had
-     * been agreed.
+     * When the newest heartbeat that came back to this head was sent: until then at least, no other
+     * view had been agreed.
      */
     public long majorityProvenUs() {
         return barrier.provenUs();
     }
 
-    public List<ChainEffect> drainEffects() {
-        var commands = new ArrayList<>(member.output);
-        member.output.clear();
-        return commands;
-    }
-
-    // ---- what the owner says
+    // ---- what the owner sets
 
-    /** The owner names the cores it has links to; the head keeps those outside the chain told. */
-    public void setKnownMembers(Collection<String> cores) {
-        news.setKnown(cores);
+    /** The owner names the members it has links to; the head announces its view to them. */
+    public void setKnownMembers(Collection<String> addresses) {
+        announcements.setKnownMembers(addresses);
     }
 
     /** Asked at the head in the step that decides a change of placement: what runs where. */
-    public void setPlacementSurvey(Supplier<String> s) {
-        survey = s;
+    public void setPlacementSurvey(Supplier<String> survey) {
+        requests.setPlacementSurvey(survey);
     }
 
     /**
-     * The fewest members that still bear what is to be borne; without this word nobody is taken off
-     * merely for its absence.
+     * The fewest members that still tolerate the losses configured; unless it is set, nobody is
+     * removed merely for its absence.
      */
-    public void setMinimumRosterSize(int n) {
-        membership.setLeastRoster(n);
+    public void setMinimumRosterSize(int members) {
+        membership.setMinimumRosterSize(members);
+    }
+
+    /** Set at a start: how long the process was down, as far as is known. */
+    public void setDowntimeUs(long lengthUs) {
+        jobClock.setDowntimeUs(lengthUs);
     }
 
+    // ---- graceful shutdown
+
     /**
      * The process is about to end: from now on this member takes part only where its promise is
-     * needed. The owner hands the change LEAVE with this member as its subject to the head, again
-     * and again, until mayTerminate() holds.
+     * needed. The owner submits the command that marks this member as departing to the head, again
+     * and again, until {@link #mayTerminate} holds.
      */
-    public void startLeaving(long t) {
-        member.advance(t);
-        member.leaving = true;
-        leavingSinceUs = member.nowUs;
+    public void startLeaving(long nowUs) {
+        member.advanceTo(nowUs);
+        member.departure().begin(member.nowUs());
     }
 
     /**
-     * Whether this member may end once its order to leave was taken: a chain without it is known to
-     * have accepted all that was acknowledged. That ceases to hold when another view is begun with
-     * this member's promise, which may need it. If all members of the roster leave, nobody is
+     * Whether this member may end once its command to leave was taken: a chain without it is known
+     * to have accepted all that was acknowledged. That ceases to hold when another view is begun
+     * with this member's promise, which may need it. If all members of the roster leave, nobody is
      * waited for, once newcomers have had the time to join.
      */
-    public boolean mayTerminate(long t) {
-        var known = member.committed;
+    public boolean mayTerminate(long nowUs) {
+        var known = committed();
         var nobodyStays = known.edition > 0 && known.departed.containsAll(known.roster);
-        return member.released
-                || member.mode == MemberRole.LEARNER
-                || nobodyStays && t - leavingSinceUs > NEWCOMERS_JOIN_US;
+        return member.departure().isReleased()
+                || member.is(MemberRole.LEARNER)
+                || nobodyStays && member.departure().hasWaitedForNewcomers(nowUs);
     }
 
-    // ---- the one function that changes what this member does
+    // ---- events
 
-    void become(MemberRole next) {
-        if (isHead() && next != MemberRole.HEAD) {
-            refuseAll();
-        }
-        if (next == MemberRole.HEAD) {
-            member.viewSinceUs = member.nowUs;
-            member.headSeen = member.me;
-            barrier.onActive(member.nowUs, member.formedUs);
-        }
-        if (next == MemberRole.IDLE || next == MemberRole.FOLLOWER) {
-            membership.clear();
+    /** Time passes; to be called several times in each heartbeat interval. */
+    public void onTick(long nowUs) {
+        member.advanceTo(nowUs);
+        switch (member.role()) {
+            case HEAD -> tickHead();
+            case CANDIDATE -> election.tickCandidate();
+            case ACTIVATING_VIEW -> tickActivatingView();
+            case IDLE, FOLLOWER -> election.tickWaiting();
+            case LEARNER -> {}
         }
-        member.mode = next;
-    }
-
-    private void refuseAll() {
-        var why = "the chain is being mended";
-        write.ifPresent(
-                w ->
-                        member.output.add(
-                                new ChainEffect.CompleteRequest(w.request, UNAVAILABLE, why)));
-        write = Optional.empty();
-        barrier.refuseAll(UNAVAILABLE, why);
-        queue.forEach(
-                a ->
-                        member.output.add(
-                                new ChainEffect.CompleteRequest(a.request, UNAVAILABLE, why)));
-        queue.clear();
-    }
-
-    public void onPersisted(long t, long token) {
-        member.advance(t);
+    }
+
+    /** A record from another member; ignored when it is none of the chain's. */
+    public void onMessage(long nowUs, String from, byte[] record) {
+        member.advanceTo(nowUs);
+        ChainMessageCodec.decode(record).ifPresent(message -> dispatch(from, message));
+    }
+
+    /** The state of a PersistState effect is durable. */
+    public void onPersisted(long nowUs, long token) {
+        member.advanceTo(nowUs);
         var before = member.state().edition;
-        if (!member.disk.onStored(token)) {
+        if (!member.disk().onStored(token)) {
             return;
         }
         if (member.state().edition != before) {
-            clockSinceUs = member.nowUs;
-            awayUs = 0;
+            jobClock.onNewState(member.nowUs());
         }
-        member.disk.runWaiting();
-        work();
+        member.disk().runDeferred();
+        proceed();
     }
 
-    // ---- time
+    /**
+     * A change is requested; answered by a CompleteRequest effect with the request's number, sooner
+     * or later. Only a head decides requests, others reject them at once.
+     */
+    public void submit(long nowUs, long request, ClusterState.Change change) {
+        member.advanceTo(nowUs);
+        if (!isHead() || requests.isFull()) {
+            requests.reject(request, "not the head of an active chain");
+            return;
+        }
+        if (change.act == ClusterState.Act.LEAVE) {
+            membership.onLeaveRequest(change.subject, change.base == ClusterState.LEAVE_NOW);
+        }
+        requests.submit(request, change);
+        proceed();
+    }
 
-    public void onTick(long t) {
-        member.advance(t);
-        switch (member.mode) {
-            case HEAD -> tickHead();
-            case CANDIDATE -> agreement.tickBidding();
-            case ACTIVATING_VIEW -> tickStart();
-            case IDLE, FOLLOWER -> agreement.tickWaiting();
-            case LEARNER -> {}
+    /** The effects since the last call, to be carried out in this order. */
+    public List<ChainEffect> drainEffects() {
+        return member.drainEffects();
+    }
+
+    private void dispatch(String from, ChainMessage message) {
+        if (message instanceof ElectionMessage.Prepare prepare) {
+            member.disk().whenFree(() -> acceptor.onPrepare(from, prepare));
+        } else if (message instanceof ElectionMessage answer) {
+            election.onMessage(from, answer);
+        } else if (message instanceof ReplicationMessage replicated) {
+            replication.onMessage(replicated);
+        } else if (message instanceof HeartbeatMessage heartbeat) {
+            heartbeats.onMessage(heartbeat);
+        } else if (message instanceof AnnouncementMessage announcement) {
+            announcements.onMessage(from, announcement);
         }
     }
 
-    /** A head whose disk hangs steps down, and lets others go first for a while. */
+    // ---- changes of the role
+
+    private void onRoleChange(MemberRole previous, MemberRole next) {
+        if (previous == MemberRole.HEAD && next != MemberRole.HEAD) {
+            requests.rejectAll("the chain is being mended");
+        }
+        if (next == MemberRole.HEAD) {
+            member.view().activate(member.address(), member.nowUs());
+            barrier.onViewActive(member.view().formedUs());
+        }
+        if (next == MemberRole.IDLE || next == MemberRole.FOLLOWER) {
+            membership.clear();
+        }
+    }
+
+    /** A member whose disk stalls gives up its view, and lets others go first for a while. */
     private void stepDown() {
-        member.quietUntilUs = member.nowUs + SICK_HEAD_RESTS_US;
-        member.heardUs = member.nowUs;
-        become(MemberRole.IDLE);
+        member.contact().noElectionBefore(member.nowUs() + STALLED_HEAD_RESTS_US);
+        member.contact().heard(member.nowUs());
+        member.become(MemberRole.IDLE);
+    }
+
+    /** The whole chain of the view that this member formed has accepted its state. */
+    private void onViewAccepted() {
+        member.become(MemberRole.HEAD);
+        heartbeats.send();
+        proceed();
     }
 
-    private void tickStart() {
-        if (member.disk.isSick(member.nowUs)) {
+    // ---- as head
+
+    private void tickActivatingView() {
+        if (member.disk().isStalled(member.nowUs())) {
             stepDown();
-        } else if (member.disk.isFree()) {
-            if (member.nowUs - member.viewSinceUs > MemberContext.SILENT_US) {
-                agreement.start();
+        } else if (member.disk().isFree()) {
+            if (member.nowUs() - member.view().sinceUs() > HeadContact.HEAD_TIMEOUT_US) {
+                election.start();
             } else {
-                replication.resend();
+                replication.retransmit();
             }
         }
     }
 
     private void tickHead() {
-        var now = member.nowUs;
-        if (member.disk.isSick(now)) {
+        var now = member.nowUs();
+        if (member.disk().isStalled(now)) {
             stepDown();
             return;
         }
-        if (now - barrier.sentUs() >= HEARTBEAT_US) {
+        if (now - barrier.sentUs() >= HEARTBEAT_INTERVAL_US) {
             heartbeats.send();
         }
-        if (now - news.sentUs() >= HEARTBEAT_US) {
-            news.send();
+        if (now - announcements.sentUs() >= HEARTBEAT_INTERVAL_US) {
+            announcements.send();
         }
-        if (member.disk.isFree() && (barrier.isSilent(now, member.viewSinceUs) || isWriteStuck())) {
-            agreement.start();
+        if (member.disk().isFree()
+                && (barrier.isSilent(member.view().sinceUs()) || requests.isWriteStuck())) {
+            election.start();
             return;
         }
-        work();
-    }
-
-    /** Sends the write under way again when it is time; says whether it has taken too long. */
-    private boolean isWriteStuck() {
-        if (write.isEmpty()) {
-            return false;
-        }
-        replication.resend();
-        return write.isPresent() && member.nowUs - write.get().sinceUs > MemberContext.SILENT_US;
+        proceed();
     }
 
-    // ---- changes asked for
-
-    public void submit(long t, long request, ClusterState.Change change) {
-        member.advance(t);
-        if (!isHead() || queue.size() + barrier.waiting() >= QUEUE) {
-            member.output.add(
-                    new ChainEffect.CompleteRequest(
-                            request, UNAVAILABLE, "not the head of an active chain"));
-            return;
-        }
-        if (change.act == ClusterState.Act.LEAVE) {
-            membership.onLeaveAsked(change.subject, change.base == ClusterState.LEAVE_NOW);
+    /** The whole chain has accepted what this head holds. */
+    private void onWriteAccepted() {
+        if (requests.completeWrite()) {
+            proceed();
         }
-        queue.add(new Asked(request, change));
-        work();
-    }
-
-    private boolean isIdleHead() {
-        return isHead() && write.isEmpty() && member.disk.isFree();
     }
 
-    /**
-     * One write at a time. Answers that write nothing are decided between writes, when all that is
-     * known is committed, and wait together for one heartbeat: on a long chain a round each would
-     * let askers that lose patience fill the queue.
-     */
-    private void work() {
-        var next = barrier.number() + 1;
-        if (isIdleHead()) {
-            stepOfMembership();
-        }
-        while (isIdleHead() && !queue.isEmpty()) {
-            decide(queue.poll(), next);
+    /** Goes on with whatever can be done now: a step of membership, then the requests. */
+    private void proceed() {
+        var nextHeartbeat = barrier.number() + 1;
+        if (requests.isReady()) {
+            takeMembershipStep();
         }
+        requests.decideQueued(nextHeartbeat);
         if (barrier.needsHeartbeat()) {
             heartbeats.send();
         }
     }
 
-    private void stepOfMembership() {
+    private void takeMembershipStep() {
         membership
                 .handOverTo()
-                .ifPresent(m -> member.send(m, new ChainMessage.Handover(member.view)));
+                .ifPresent(
+                        successor ->
+                                member.send(
+                                        successor,
+                                        new ElectionMessage.HeadHandover(member.view().ballot())));
         var step = membership.next();
-        if (step instanceof Membership.Change c) {
-            queue.addFirst(new Asked(OWN_ASK, c.change()));
-        } else if (step instanceof Membership.NewView) {
-            agreement.start();
-        }
-    }
-
-    private void decide(Asked asked, long nextHeartbeat) {
-        var placement = asked.change.act.ofPlacement() ? survey.get() : "";
-        var change = asked.change.stamped(jobClockUs(member.nowUs)).surveyed(placement);
-        var outcome = member.state().decide(change);
-        if (outcome.next.isEmpty()) {
-            barrier.await(asked.request, outcome, nextHeartbeat);
-            return;
-        }
-        write = Optional.of(new Write(asked.request, member.nowUs, outcome.text));
-        replication.write(change, outcome.next.get());
-    }
-
-    // ---- what the parts ask and report
-
-    long heartbeatAcknowledgedUs() {
-        return barrier.acknowledgedUs();
-    }
-
-    /** A view was agreed: its state goes down the chain. */
-    void open(ClusterState state, Ballot acceptedIn, List<String> holders) {
-        replication.open(state, acceptedIn, holders);
-    }
-
-    /** The whole chain of the view that this member formed has accepted its state. */
-    void onViewActive() {
-        become(MemberRole.HEAD);
-        heartbeats.send();
-        work();
-    }
-
-    /** The whole chain has accepted what this head holds. */
-    void onWriteAcknowledged() {
-        if (write.isPresent()) {
-            member.output.add(
-                    new ChainEffect.CompleteRequest(write.get().request, 200, write.get().text));
-            write = Optional.empty();
-            work();
-        }
-    }
-
-    // ---- records from peers
-
-    public void onMessage(long t, String from, byte[] record) {
-        member.advance(t);
-        ChainMessage.decode(record).ifPresent(message -> dispatch(from, message));
-    }
-
-    private void dispatch(String from, ChainMessage message) {
-        if (message instanceof ChainMessage.Prepare m) {
-            member.disk.whenFree(() -> agreement.onPrepare(from, m));
-        } else if (message instanceof ChainMessage.Refused m) {
-            agreement.onRefused(from, m);
-        } else if (message instanceof ChainMessage.Learner m) {
-            agreement.onLearner(from, m);
-        } else if (message instanceof ChainMessage.Promised m) {
-            agreement.onPromised(from, m);
-        } else if (message instanceof ChainMessage.Handover m) {
-            member.disk.whenFree(() -> agreement.onHandover(m));
-        } else if (message instanceof ChainMessage.Pass m) {
-            member.disk.whenFree(() -> replication.onPass(m));
-        } else if (message instanceof ChainMessage.Step m) {
-            member.disk.whenFree(() -> replication.onStep(m));
-        } else if (message instanceof ChainMessage.PassAck m) {
-            replication.onPassAck(m);
-        } else if (message instanceof ChainMessage.Nack m) {
-            agreement.onNack(m);
-        } else if (message instanceof ChainMessage.Heartbeat m) {
-            heartbeats.onHeartbeat(m);
-        } else if (message instanceof ChainMessage.HeartbeatAck m) {
-            heartbeats.onHeartbeatAck(m);
-        } else if (message instanceof ChainMessage.News m) {
-            news.onNews(from, m);
-        } else if (message instanceof ChainMessage.Here m) {
-            news.onHere(from, m);
-        } else if (message instanceof ChainMessage.Pull m) {
-            news.onPull(from, m);
-        } else if (message instanceof ChainMessage.Snapshot m) {
-            news.onSnapshot(m);
+        if (step instanceof MembershipStep.ChangeRoster roster) {
+            requests.submitFirst(roster.change());
+        } else if (step instanceof MembershipStep.StartView) {
+            election.start();
         }
     }
 }
--- a/core/src/main/java/martenloom/core/chain/DurableState.java
+++ b/core/src/main/java/martenloom/core/chain/DurableState.java
@@ -5,24 +5,33 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What this member has on disk, and the one write that may be under way. */
+/**
+ * What a member has on disk, and the one write that may be under way. While one is, whatever needs
+ * the disk waits in order of arrival; beyond a bound it is dropped, as if the message were lost.
+ */
 final class DurableState {
-    private static final long SICK_DISK_US = 800_000;
-    private static final int MOST_DEFERRED = 256;
+    /** A write that takes longer than this means that the disk hangs. */
+    private static final long STALLED_DISK_US = 800_000;
 
-    private final Consumer<ChainEffect.PersistState> output;
+    private static final int MAX_DEFERRED = 256;
+
+    private final Consumer<ChainEffect> effects;
     private final Deque<Runnable> deferred = new ArrayDeque<>();
     private PersistentMemberState kept;
     private Optional<PersistentMemberState> storing = Optional.empty();
     private Runnable afterStore = () -> {};
+
+    /** Of the newest write. */
     private long token;
-    private long sinceUs;
 
-    DurableState(PersistentMemberState kept, Consumer<ChainEffect.PersistState> output) {
+    private long storingSinceUs;
+
+    DurableState(PersistentMemberState kept, Consumer<ChainEffect> effects) {
         this.kept = kept;
-        this.output = output;
+        this.effects = effects;
     }
 
+    /** What is durable. */
     PersistentMemberState kept() {
         return kept;
     }
@@ -32,23 +41,23 @@
     }
 
     /** Whether a write has been under way for longer than a healthy disk takes. */
-    boolean isSick(long nowUs) {
-        return storing.isPresent() && nowUs - sinceUs > SICK_DISK_US;
+    boolean isStalled(long nowUs) {
+        return storing.isPresent() && nowUs - storingSinceUs > STALLED_DISK_US;
     }
 
     /** Begins a write, which must be the only one, and runs the rest once it is durable. */
     void store(PersistentMemberState next, long nowUs, Runnable then) {
         storing = Optional.of(next);
         afterStore = then;
-        sinceUs = nowUs;
-        output.accept(new ChainEffect.PersistState(++token, next));
+        storingSinceUs = nowUs;
+        effects.accept(new ChainEffect.PersistState(++token, next));
     }
 
     /** Runs at once when the disk is free, else when it is. */
     void whenFree(Runnable action) {
         if (isFree()) {
             action.run();
-        } else if (deferred.size() < MOST_DEFERRED) {
+        } else if (deferred.size() < MAX_DEFERRED) {
             deferred.add(action);
         }
     }
@@ -64,7 +73,7 @@
     }
 
     /** Runs what waited for the write, for as long as no further one is begun. */
-    void runWaiting() {
+    void runDeferred() {
         var then = afterStore;
         afterStore = () -> {};
         then.run();
--- a/core/src/main/java/martenloom/core/chain/Heartbeats.java
+++ b/core/src/main/java/martenloom/core/chain/Heartbeats.java
@@ -1,69 +1,77 @@
 package martenloom.core.chain;
 
+import martenloom.core.chain.HeartbeatMessage.Heartbeat;
+import martenloom.core.chain.HeartbeatMessage.HeartbeatAck;
+
 /** Heartbeats of a head down its chain, and their way back from the tail. */
 final class Heartbeats {
     private final MemberContext member;
     private final ReadBarrier barrier;
-    private final Replication replication;
-    private final ChainMember owner;
 
-    Heartbeats(
-            MemberContext member, ReadBarrier barrier, Replication replication, ChainMember owner) {
+    Heartbeats(MemberContext member, ReadBarrier barrier) {
         this.member = member;
         this.barrier = barrier;
-        this.replication = replication;
-        this.owner = owner;
     }
 
     /** Sends the next heartbeat from the head. */
     void send() {
-        var number = barrier.next(member.nowUs);
-        if (member.chain.size() == 1) {
-            barrier.onAcknowledged(number, member.nowUs);
+        var number = barrier.nextHeartbeat();
+        var view = member.view();
+        if (view.chain().size() == 1) {
+            barrier.onAcknowledged(number);
             return;
         }
-        var ageUs = member.nowUs - barrier.provenUs();
+        var contactAgeUs = member.nowUs() - barrier.provenUs();
         member.send(
-                member.chain.get(1),
-                new ChainMessage.Heartbeat(
-                        member.view, number, member.chain, member.committed.edition, ageUs));
+                view.chain().get(1),
+                new Heartbeat(
+                        view.ballot(),
+                        number,
+                        view.chain(),
+                        member.committed().edition(),
+                        contactAgeUs));
+    }
+
+    void onMessage(HeartbeatMessage message) {
+        if (message instanceof Heartbeat heartbeat) {
+            onHeartbeat(heartbeat);
+        } else if (message instanceof HeartbeatAck ack) {
+            onHeartbeatAck(ack);
+        }
     }
 
-    void onHeartbeat(ChainMessage.Heartbeat beat) {
-        var chain = beat.chain();
-        var place = chain.indexOf(member.me);
-        if (place < 1
-                || member.mode != MemberRole.FOLLOWER && member.mode != MemberRole.IDLE
-                || !member.holds(beat.ballot())) {
+    private void onHeartbeat(Heartbeat heartbeat) {
+        var chain = heartbeat.chain();
+        var position = chain.indexOf(member.address());
+        if (position < 1
+                || !member.is(MemberRole.FOLLOWER) && !member.is(MemberRole.IDLE)
+                || !member.holds(heartbeat.ballot())) {
             return;
         }
-        if (member.mode == MemberRole.IDLE) {
-            owner.become(MemberRole.FOLLOWER);
-            member.released = false;
+        if (member.is(MemberRole.IDLE)) {
+            member.become(MemberRole.FOLLOWER);
+            member.departure().revokeRelease();
         }
-        member.told(beat.proofAgeUs());
-        member.follow(beat.ballot(), chain);
-        replication.commit(beat.ballot(), beat.edition());
-        if (place == chain.size() - 1) {
+        member.contact().heardProof(member.nowUs(), heartbeat.contactAgeUs());
+        member.view().follow(heartbeat.ballot(), chain);
+        member.commit(heartbeat.ballot(), heartbeat.edition());
+        if (position == chain.size() - 1) {
             member.send(
-                    chain.get(place - 1),
-                    new ChainMessage.HeartbeatAck(beat.ballot(), beat.number()));
+                    chain.get(position - 1),
+                    new HeartbeatAck(heartbeat.ballot(), heartbeat.number()));
         } else {
-            member.send(chain.get(place + 1), beat);
+            member.send(chain.get(position + 1), heartbeat);
         }
     }
 
-    void onHeartbeatAck(ChainMessage.HeartbeatAck ack) {
-        if (!ack.ballot().equals(member.view)) {
+    private void onHeartbeatAck(HeartbeatAck ack) {
+        if (!ack.ballot().equals(member.view().ballot())) {
             return;
         }
-        if (member.mode == MemberRole.FOLLOWER) {
-            var place = member.chainSeen.indexOf(member.me);
-            if (place > 0) {
-                member.send(member.chainSeen.get(place - 1), ack);
-            }
-        } else if (member.heading()) {
-            barrier.onAcknowledged(ack.number(), member.nowUs);
+        if (member.is(MemberRole.FOLLOWER)) {
+            member.sendUpstream(ack);
+        } else if (member.isHead()) {
+            barrier.onAcknowledged(ack.number());
         }
     }
 }
--- a/core/src/main/java/martenloom/core/chain/MemberContext.java
+++ b/core/src/main/java/martenloom/core/chain/MemberContext.java
@@ -3,97 +3,152 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import martenloom.core.state.ClusterState;
 
 /**
- * What the parts of one chain member share: who it is, what it does, what it holds, and its output.
+ * What the parts of one chain member share: who it is, its role, its clock, what it keeps, and the
+ * effects it asks of its owner. Runs on the owner's thread.
  */
 final class MemberContext {
-    /** A member of the view that hears nothing for so long bids for the next. */
-    static final long SILENT_US = 900_000;
+    /** No election so soon after the start: a running head shall be heard first. */
+    private static final long FIRST_ELECTION_AFTER_US = 150_000;
 
-    /** So long a view stands before its head begins another to take in those outside. */
-    static final long SETTLE_US = 1_000_000;
+    /** Told of each change of the role, before it takes place. */
+    interface RoleListener {
+        void onRoleChange(MemberRole previous, MemberRole next);
+    }
+
+    private final String address;
+    private final long incarnation;
+    private final Comparator<String> proximity;
+    private final RoleListener roleListener;
+    private final List<ChainEffect> effects = new ArrayList<>();
+    private final DurableState disk;
+    private final ViewState view = new ViewState();
+    private final HeadContact contact;
+    private final Departure departure = new Departure();
+    private final CommittedState committed;
+
+    /** The newest time this member was told of; microseconds, never falls. */
+    private long nowUs;
 
-    final String me;
+    private MemberRole role;
+
+    /** The highest number of a ballot heard of. */
+    private long highestBallotNumber;
 
     /**
-     * Drawn at the start of this life, so that nothing meant for a former one can teach this
-     * member.
+     * @param incarnation drawn at the start of the process, so that nothing meant for a former
+     *     start can teach this member
+     * @param proximity the order of the chain: near members first
      */
-    final long nonce;
+    MemberContext(
+            String address,
+            long incarnation,
+            Optional<PersistentMemberState> kept,
+            Comparator<String> proximity,
+            long nowUs,
+            RoleListener roleListener) {
+        this.address = address;
+        this.incarnation = incarnation;
+        this.proximity = proximity;
+        this.nowUs = nowUs;
+        this.roleListener = roleListener;
+        role = kept.isPresent() ? MemberRole.IDLE : MemberRole.LEARNER;
+        disk = new DurableState(kept.orElseGet(MemberContext::emptyDisk), effects::add);
+        committed = new CommittedState(ClusterState.founded(state().roster), effects::add);
+        contact =
+                new HeadContact(
+                        nowUs - HeadContact.HEAD_TIMEOUT_US, nowUs + FIRST_ELECTION_AFTER_US);
+        highestBallotNumber = promised().number();
+    }
 
-    /** The order of the chain: near members first. */
-    final Comparator<String> near;
+    private static PersistentMemberState emptyDisk() {
+        return new PersistentMemberState(Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of()));
+    }
 
-    final List<ChainEffect> output = new ArrayList<>();
-    final DurableState disk;
-    long nowUs;
-    MemberRole mode;
+    // ---- identity and time
 
-    /** The view that this member takes part in, or took part in last. */
-    Ballot view = Ballot.ZERO;
+    String address() {
+        return address;
+    }
 
-    /**
-     * The chain of a view that this member heads, and the nonces of those that learn the state in
-     * it.
-     */
-    List<String> chain = List.of();
+    long incarnation() {
+        return incarnation;
+    }
 
-    Map<String, Long> learners = Map.of();
+    Comparator<String> proximity() {
+        return proximity;
+    }
 
-    /** The head and the chain that this member heard of last. */
-    String headSeen = "";
+    void advanceTo(long timeUs) {
+        nowUs = Math.max(nowUs, timeUs);
+    }
 
-    List<String> chainSeen = List.of();
-    ClusterState committed;
+    long nowUs() {
+        return nowUs;
+    }
 
-    /** The highest number of a ballot that was heard of. */
-    long topNumber;
+    // ---- role
 
-    /** No bid before this time. */
-    long quietUntilUs;
+    MemberRole role() {
+        return role;
+    }
 
-    long heardUs;
+    boolean is(MemberRole expected) {
+        return role == expected;
+    }
 
-    /**
-     * The newest moment at which a majority is known to have held together, as a follower was told.
-     */
-    long toldUs;
+    boolean isHead() {
+        return role == MemberRole.HEAD;
+    }
 
-    long viewSinceUs;
-    long formedUs;
-    boolean leaving;
+    /** The one place at which the role changes. */
+    void become(MemberRole next) {
+        roleListener.onRoleChange(role, next);
+        role = next;
+    }
 
-    /** A chain without this member, which leaves, is known to be active. */
-    boolean released;
+    // ---- what it knows of views, heads and committed states
 
-    MemberContext(
-            String me,
-            long nonce,
-            Optional<PersistentMemberState> kept,
-            Comparator<String> near,
-            long nowUs) {
-        this.me = me;
-        this.nonce = nonce;
-        this.near = near;
-        this.nowUs = nowUs;
-        mode = kept.isPresent() ? MemberRole.IDLE : MemberRole.LEARNER;
-        disk =
-                new DurableState(
-                        kept.orElse(
-                                new PersistentMemberState(
-                                        Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of()))),
-                        output::add);
-        committed = ClusterState.founded(state().roster);
-        topNumber = promised().number();
-        heardUs = nowUs - SILENT_US;
+    ViewState view() {
+        return view;
+    }
+
+    HeadContact contact() {
+        return contact;
+    }
+
+    Departure departure() {
+        return departure;
+    }
+
+    CommittedState committed() {
+        return committed;
+    }
+
+    /** Commits the accepted state, if it is the one of an edition accepted in a view. */
+    void commit(Ballot ballot, long edition) {
+        if (accepted().equals(ballot) && state().edition == edition) {
+            committed.commit(state());
+        }
     }
 
-    void advance(long t) {
-        nowUs = Math.max(nowUs, t);
+    void observeBallotNumber(long number) {
+        highestBallotNumber = Math.max(highestBallotNumber, number);
+    }
+
+    /** A ballot of this member above all that it has heard of or promised. */
+    Ballot nextBallot() {
+        highestBallotNumber = Math.max(highestBallotNumber, promised().number()) + 1;
+        return new Ballot(highestBallotNumber, address);
+    }
+
+    // ---- what it keeps
+
+    DurableState disk() {
+        return disk;
     }
 
     ClusterState state() {
@@ -108,39 +163,42 @@
         return disk.kept().accepted();
     }
 
-    boolean heading() {
-        return mode == MemberRole.HEAD;
-    }
-
     /** Whether this member accepted the state of a view and has promised no higher one. */
     boolean holds(Ballot ballot) {
         return ballot.equals(promised()) && ballot.equals(accepted());
     }
 
-    void heardOf(long ballotNumber) {
-        topNumber = Math.max(topNumber, ballotNumber);
+    /** Makes a promise durable, keeping what was accepted last, then goes on. */
+    void persistPromise(Ballot ballot, Runnable then) {
+        disk.store(new PersistentMemberState(ballot, accepted(), state()), nowUs, then);
     }
 
-    /**
-     * Word from the head of a view, with the age of its proof: the only thing that makes this
-     * member's knowledge fresh.
-     */
-    void told(long ageUs) {
-        heardUs = nowUs;
-        toldUs = Math.max(toldUs, nowUs - Math.max(0, ageUs));
+    /** Accepts a state in a view: makes it durable, then goes on. */
+    void persistAccepted(Ballot ballot, ClusterState state, Runnable then) {
+        disk.store(new PersistentMemberState(ballot, ballot, state), nowUs, then);
     }
 
-    void follow(Ballot ballot, List<String> members) {
-        view = ballot;
-        chainSeen = members;
-        headSeen = members.get(0);
-    }
+    // ---- effects
 
     void send(String to, ChainMessage message) {
-        output.add(new ChainEffect.SendMessage(to, message.encode().bytes()));
+        effects.add(new ChainEffect.SendMessage(to, ChainMessageCodec.encode(message)));
+    }
+
+    /** Relays an acknowledgement towards the head. */
+    void sendUpstream(ChainMessage message) {
+        var position = view.chain().indexOf(address);
+        if (position > 0) {
+            send(view.chain().get(position - 1), message);
+        }
+    }
+
+    void complete(long request, int status, String text) {
+        effects.add(new ChainEffect.CompleteRequest(request, status, text));
     }
 
-    void store(PersistentMemberState next, Runnable then) {
-        disk.store(next, nowUs, then);
+    List<ChainEffect> drainEffects() {
+        var drained = new ArrayList<>(effects);
+        effects.clear();
+        return drained;
     }
 }
--- a/core/src/main/java/martenloom/core/chain/Membership.java
+++ b/core/src/main/java/martenloom/core/chain/Membership.java
@@ -19,55 +19,60 @@
  */
 final class Membership {
     /**
-     * A member of an odd roster that was missed for so long, by one head all the time, goes though
-     * nobody replaced it.
+     * A member of an odd roster that was missing for so long, under one head all the time, is
+     * removed though nobody replaced it.
      */
-    static final long GONE_US = 120_000_000;
+    static final long REMOVE_ABSENT_AFTER_US = 120_000_000;
 
-    /** So long someone outside the chain is heard before a new view is begun for it. */
-    private static final long HEARD_US = 300_000;
+    /** A view stands at least so long before its head begins another to take in newcomers. */
+    private static final long VIEW_SETTLES_US = 1_000_000;
 
-    /** Who was not heard for so long is outside no more. */
-    private static final long OUTSIDE_EXPIRES_US = 1_000_000;
+    /** Someone outside the chain asks to join for so long before a new view is begun for it. */
+    private static final long NEWCOMER_STEADY_US = 300_000;
 
-    private static final long MISSING_US = 1_000_000;
-    private static final long DEPARTED_US = 10_000_000;
-    private static final long LEAVER_EXPIRES_US = 3_000_000;
-    private static final long HANDOVER_AGAIN_US = 150_000;
-
-    /** What is to be done next. */
-    sealed interface Step permits Change, NewView, Nothing {}
+    /** Who has not asked for so long does not want to join any more. */
+    private static final long NEWCOMER_EXPIRES_US = 1_000_000;
 
-    /** A change of the roster by one member, as an order like any other. */
-    record Change(ClusterState.Change change) implements Step {}
+    /** A member of an even roster that is missing for so long is removed. */
+    private static final long REMOVE_MISSING_AFTER_US = 1_000_000;
 
-    /** A new view: with those that stand outside, or without those that leave. */
-    record NewView() implements Step {}
+    /** A member that left in order, from an odd roster, is removed after so long. */
+    private static final long REMOVE_DEPARTED_AFTER_US = 10_000_000;
 
-    /** All is as it should be, or has to wait. */
-    record Nothing() implements Step {}
+    private static final long LEAVER_EXPIRES_US = 3_000_000;
+    private static final long HANDOVER_INTERVAL_US = 150_000;
+    private static final MembershipStep START_VIEW = new MembershipStep.StartView();
+    private static final MembershipStep NO_STEP = new MembershipStep.NoStep();
 
-    private static final class Seen {
+    /** Since when, and when last, someone outside the chain asked to join. */
+    private static final class Newcomer {
         private long firstUs;
         private long lastUs;
     }
 
     private final MemberContext member;
-    private final Map<String, Seen> outside = new TreeMap<>();
+    private final Map<String, Newcomer> newcomers = new TreeMap<>();
     private final Map<String, Long> missingSinceUs = new TreeMap<>();
+
+    /** Who leaves, with the time at which each said so last. */
     private final Map<String, Long> leaversHeardUs = new TreeMap<>();
-    private int leastRoster = Integer.MAX_VALUE;
+
+    /** Those of them whose grace period runs out. */
     private final Set<String> urgentLeavers = new TreeSet<>();
+
+    private int minimumRosterSize = Integer.MAX_VALUE;
     private long handoverSentUs;
 
     Membership(MemberContext member) {
         this.member = member;
     }
 
-    void setLeastRoster(int members) {
-        leastRoster = members;
+    void setMinimumRosterSize(int members) {
+        minimumRosterSize = members;
     }
 
+    // ---- what it is told
+
     /** This member heads no view any more: what it had noted as its head is void. */
     void clear() {
         missingSinceUs.clear();
@@ -76,156 +81,172 @@
     }
 
     /** A view was formed, in which these members said with their promise that they leave. */
-    void onFormed(Set<String> leaving) {
-        outside.clear();
+    void onViewFormed(Set<String> leaving) {
+        newcomers.clear();
         leaversHeardUs.clear();
         urgentLeavers.clear();
-        leaving.forEach(m -> leaversHeardUs.put(m, member.nowUs));
+        leaving.forEach(address -> leaversHeardUs.put(address, member.nowUs()));
     }
 
     /** Someone outside the chain wants to join. */
-    void onHere(String from) {
-        var seen = outside.computeIfAbsent(from, k -> new Seen());
-        if (member.nowUs - seen.lastUs > OUTSIDE_EXPIRES_US) {
-            seen.firstUs = member.nowUs;
+    void onJoinRequest(String from) {
+        var newcomer = newcomers.computeIfAbsent(from, address -> new Newcomer());
+        if (isExpired(newcomer)) {
+            newcomer.firstUs = member.nowUs();
         }
-        seen.lastUs = member.nowUs;
+        newcomer.lastUs = member.nowUs();
     }
 
     /**
      * A member asks, for the first time or again, to be let go; urgently, once its grace period
      * runs out.
      */
-    void onLeaveAsked(String leaver, boolean urgent) {
-        leaversHeardUs.put(leaver, member.nowUs);
+    void onLeaveRequest(String leaver, boolean urgent) {
+        leaversHeardUs.put(leaver, member.nowUs());
         if (urgent) {
             urgentLeavers.add(leaver);
         }
     }
 
+    // ---- what is to be done
+
     /** Who is to be in the next view beside the roster. */
-    Set<String> candidates() {
-        var candidates = new TreeSet<String>();
-        outside.forEach(
-                (m, seen) -> {
-                    if (heardLongEnough(seen) && member.nowUs - seen.lastUs <= OUTSIDE_EXPIRES_US) {
-                        candidates.add(m);
+    Set<String> toJoin() {
+        var joining = new TreeSet<String>();
+        newcomers.forEach(
+                (address, newcomer) -> {
+                    if (isSteady(newcomer) && !isExpired(newcomer)) {
+                        joining.add(address);
                     }
                 });
-        member.chain.stream().filter(m -> !leaves(m)).forEach(candidates::add);
-        return candidates;
+        chain().stream().filter(address -> !isLeaving(address)).forEach(joining::add);
+        return joining;
     }
 
     /** The next step, one at a time. */
-    Step next() {
+    MembershipStep next() {
         refresh();
-        var struck = missingToStrike().or(this::leaverToStrike);
-        if (struck.isPresent()) {
-            return change(ClusterState.Act.ROSTER_OUT, struck.get());
+        var removed = missingToRemove().or(this::leaverToRemove);
+        if (removed.isPresent()) {
+            return change(ClusterState.Act.ROSTER_OUT, removed.get());
         }
-        if (mayLetGo() && !leaves(member.me)) {
-            return new NewView();
+        if (mayReleaseLeavers() && !isLeaving(member.address())) {
+            return START_VIEW;
         }
-        var enrolled = toEnrol();
-        if (enrolled.isPresent()) {
-            return change(ClusterState.Act.ROSTER, enrolled.get());
+        var added = toAdd();
+        if (added.isPresent()) {
+            return change(ClusterState.Act.ROSTER, added.get());
         }
-        return member.nowUs - member.viewSinceUs >= MemberContext.SETTLE_US && someoneWaitsOutside()
-                ? new NewView()
-                : new Nothing();
+        var isSettled = member.nowUs() - member.view().sinceUs() >= VIEW_SETTLES_US;
+        return isSettled && someoneWaitsOutside() ? START_VIEW : NO_STEP;
     }
 
     /**
-     * The member that is to begin the next view instead of this head, which leaves; told again and
+     * The member that is to begin the next view instead of this head, which leaves; named again and
      * again until it does.
      */
     Optional<String> handOverTo() {
         refresh();
-        if (!leaves(member.me)
-                || !mayLetGo()
-                || missingToStrike().isPresent()
-                || member.nowUs - handoverSentUs <= HANDOVER_AGAIN_US) {
+        if (!isLeaving(member.address())
+                || !mayReleaseLeavers()
+                || missingToRemove().isPresent()
+                || member.nowUs() - handoverSentUs <= HANDOVER_INTERVAL_US) {
             return Optional.empty();
         }
-        handoverSentUs = member.nowUs;
+        handoverSentUs = member.nowUs();
         return Optional.of(staying().get(0));
     }
 
-    private static Step change(ClusterState.Act act, String subject) {
-        return new Change(new ClusterState.Change(act, 0, subject, ""));
+    private static MembershipStep change(ClusterState.Act act, String subject) {
+        return new MembershipStep.ChangeRoster(new ClusterState.Change(act, 0, subject, ""));
+    }
+
+    private List<String> chain() {
+        return member.view().chain();
     }
 
     private List<String> roster() {
         return member.state().roster;
     }
 
-    private boolean departed(String m) {
-        return member.state().departed.contains(m);
+    private boolean isDeparted(String address) {
+        return member.state().departed.contains(address);
     }
 
-    private boolean leaves(String m) {
-        return leaversHeardUs.containsKey(m);
+    private boolean isLeaving(String address) {
+        return leaversHeardUs.containsKey(address);
     }
 
     private void refresh() {
         missingSinceUs
                 .keySet()
                 .removeIf(
-                        m ->
-                                member.chain.contains(m)
-                                        || !roster().contains(m)
-                                        || outside.containsKey(m));
+                        address ->
+                                chain().contains(address)
+                                        || !roster().contains(address)
+                                        || newcomers.containsKey(address));
         roster().stream()
-                .filter(m -> !member.chain.contains(m))
-                .forEach(m -> missingSinceUs.putIfAbsent(m, member.nowUs));
-        leaversHeardUs.values().removeIf(t -> member.nowUs - t > LEAVER_EXPIRES_US);
-        if (member.leaving) {
-            leaversHeardUs.put(member.me, member.nowUs);
+                .filter(address -> !chain().contains(address))
+                .forEach(address -> missingSinceUs.putIfAbsent(address, member.nowUs()));
+        leaversHeardUs.values().removeIf(heard -> member.nowUs() - heard > LEAVER_EXPIRES_US);
+        if (member.departure().isLeaving()) {
+            leaversHeardUs.put(member.address(), member.nowUs());
         }
     }
 
+    // ---- newcomers
+
     /**
-     * A member of the chain that is not in the roster, or is marked there as gone though it is
-     * back. While an even roster misses a member, nobody new is enrolled before that one is struck
-     * or back: each successor takes one place.
+     * A member of the chain that is not in the roster, or is marked there as departed though it is
+     * back. While an even roster misses a member, nobody new is added before that one is removed or
+     * back: each successor takes one place.
      */
-    private Optional<String> toEnrol() {
+    private Optional<String> toAdd() {
         var vacancy = roster().size() % 2 == 0 && !missingSinceUs.isEmpty();
-        return member.chain.stream()
-                .filter(m -> !leaves(m))
-                .filter(m -> roster().contains(m) ? departed(m) : !vacancy)
+        return chain().stream()
+                .filter(address -> !isLeaving(address))
+                .filter(address -> roster().contains(address) ? isDeparted(address) : !vacancy)
                 .findFirst();
     }
 
     private boolean someoneWaitsOutside() {
-        outside.values().removeIf(seen -> member.nowUs - seen.lastUs > OUTSIDE_EXPIRES_US);
-        return outside.entrySet().stream()
-                .anyMatch(e -> heardLongEnough(e.getValue()) && !member.chain.contains(e.getKey()));
+        newcomers.values().removeIf(this::isExpired);
+        return newcomers.entrySet().stream()
+                .anyMatch(entry -> isSteady(entry.getValue()) && !chain().contains(entry.getKey()));
     }
 
-    private boolean heardLongEnough(Seen seen) {
-        return member.nowUs - seen.firstUs >= HEARD_US;
+    private boolean isSteady(Newcomer newcomer) {
+        return member.nowUs() - newcomer.firstUs >= NEWCOMER_STEADY_US;
+    }
+
+    private boolean isExpired(Newcomer newcomer) {
+        return member.nowUs() - newcomer.lastUs > NEWCOMER_EXPIRES_US;
     }
 
     // ---- those that leave in order
 
     /** Members of the chain that leave and whose leaving is written down. */
-    private List<String> going() {
-        return member.chain.stream()
-                .filter(m -> leaves(m) && (!roster().contains(m) || departed(m)))
+    private List<String> departing() {
+        return chain().stream()
+                .filter(
+                        address ->
+                                isLeaving(address)
+                                        && (!roster().contains(address) || isDeparted(address)))
                 .toList();
     }
 
     private List<String> staying() {
-        return member.chain.stream().filter(m -> roster().contains(m) && !leaves(m)).toList();
+        return chain().stream()
+                .filter(address -> roster().contains(address) && !isLeaving(address))
+                .toList();
     }
 
     /**
      * Whether those that leave are let go by a new view without them: those that stay are a
      * majority of the roster. A head that leaves has another member begin that view.
      */
-    private boolean mayLetGo() {
-        return !going().isEmpty() && staying().size() * 2 > roster().size();
+    private boolean mayReleaseLeavers() {
+        return !departing().isEmpty() && staying().size() * 2 > roster().size();
     }
 
     /**
@@ -233,26 +254,31 @@
      * to join. When it is urgent, the roster shrinks: by members that left before, then by a
      * leaver, for as long as the invariant holds. If all leave, the roster stays as it is.
      */
-    private Optional<String> leaverToStrike() {
-        var going = going();
+    private Optional<String> leaverToRemove() {
+        var departing = departing();
         if (staying().isEmpty()
-                || mayLetGo()
-                || going.stream().noneMatch(urgentLeavers::contains)) {
+                || mayReleaseLeavers()
+                || departing.stream().noneMatch(urgentLeavers::contains)) {
             return Optional.empty();
         }
         var leftBefore =
-                roster().stream().filter(m -> !member.chain.contains(m) && departed(m)).findFirst();
+                roster().stream()
+                        .filter(address -> !chain().contains(address) && isDeparted(address))
+                        .findFirst();
         return leftBefore.or(
                 () ->
-                        going.stream()
-                                .filter(m -> roster().contains(m) && holdsWithout(m))
+                        departing.stream()
+                                .filter(
+                                        address ->
+                                                roster().contains(address)
+                                                        && isMajorityWithout(address))
                                 .findFirst());
     }
 
-    private boolean holdsWithout(String leaver) {
+    private boolean isMajorityWithout(String leaver) {
         var others =
-                member.chain.stream()
-                        .filter(m -> !m.equals(leaver) && roster().contains(m))
+                chain().stream()
+                        .filter(address -> !address.equals(leaver) && roster().contains(address))
                         .count();
         return others * 2 > roster().size() - 1;
     }
@@ -265,33 +291,37 @@
      * go on with the larger roster can go on with the smaller, and fewer are needed. So a
      * successor, which makes an odd roster even, takes the place of a dead member in the same or
      * the next write, and a zone that is merely cut off from an odd roster and was not replaced is
-     * never struck. Who left in order is struck after a while, too, if the majority then needs
-     * fewer members, and anybody after GONE_US.
+     * never removed. Who left in order is removed after a while, too, if the majority then needs
+     * fewer members, and anybody after REMOVE_ABSENT_AFTER_US.
      *
      * <p>A wrong guess (a member that was only cut off) is safe: it is outside the chain, so it
      * neither acknowledges nor is needed; it cannot form a view, since a majority of its older
-     * roster holds a member that knows the newer one; it hears the news of the head when it is
-     * back, and joins as a newcomer does.
+     * roster holds a member that knows the newer one; it hears the announcements of the head when
+     * it is back, and joins as a newcomer does.
      */
-    private Optional<String> missingToStrike() {
+    private Optional<String> missingToRemove() {
         return missingSinceUs.entrySet().stream()
-                .filter(e -> canBeSpared(e.getKey(), member.nowUs - e.getValue()))
+                .filter(entry -> canBeSpared(entry.getKey(), member.nowUs() - entry.getValue()))
                 .min(
                         Comparator.<Map.Entry<String, Long>, Boolean>comparing(
-                                        e -> !departed(e.getKey()))
+                                        entry -> !isDeparted(entry.getKey()))
                                 .thenComparing(Map.Entry::getValue))
                 .map(Map.Entry::getKey);
     }
 
-    private boolean canBeSpared(String m, long missingForUs) {
+    private boolean canBeSpared(String address, long missingForUs) {
         var size = roster().size();
         if (size % 2 == 0) {
-            return missingForUs >= MISSING_US;
+            return missingForUs >= REMOVE_MISSING_AFTER_US;
         }
-        var present = (int) member.chain.stream().filter(roster()::contains).count();
-        if (departed(m) && missingForUs >= DEPARTED_US && size > present + 1 - present % 2) {
+        var present = (int) chain().stream().filter(roster()::contains).count();
+        if (isDeparted(address)
+                && missingForUs >= REMOVE_DEPARTED_AFTER_US
+                && size > present + 1 - present % 2) {
             return true;
         }
-        return missingForUs > GONE_US && size > leastRoster && present >= leastRoster;
+        return missingForUs > REMOVE_ABSENT_AFTER_US
+                && size > minimumRosterSize
+                && present >= minimumRosterSize;
     }
 }
--- a/core/src/main/java/martenloom/core/chain/ReadBarrier.java
+++ b/core/src/main/java/martenloom/core/chain/ReadBarrier.java
@@ -2,41 +2,48 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import java.util.function.Consumer;
 import martenloom.core.state.ClusterState;
 
 /**
- * Heartbeats as proof: one that was sent after a question and has run the whole chain shows that no
- * other view had been agreed when it was sent, so that an answer that writes nothing may be given.
- * All that wait share one heartbeat.
+ * Heartbeats as proof that a head still is one. A heartbeat that was sent after a question and has
+ * run the whole chain shows that no other view had been agreed when it was sent; so an answer that
+ * writes nothing may be given then. All that wait share one heartbeat.
+ *
+ * <p>Invariant: no answer is given before a heartbeat numbered at least as its barrier has come
+ * back.
  */
 final class ReadBarrier {
+    /** The times of sending of so many heartbeats are kept. */
     private static final int REMEMBERED = 64;
 
     /** An answer that writes nothing, until the heartbeat that proves this head. */
-    private record Unproven(long request, ClusterState.Outcome outcome, long barrier) {}
+    private record PendingRead(long request, ClusterState.Outcome outcome, long barrier) {}
 
-    private final Consumer<ChainEffect.CompleteRequest> output;
-    private final Deque<Unproven> unproven = new ArrayDeque<>();
+    private final MemberContext member;
+    private final Deque<PendingRead> pending = new ArrayDeque<>();
     private final long[] sentAtUs = new long[REMEMBERED];
+
+    /** The number of the newest heartbeat sent. */
     private long number;
-    private long acknowledged;
-    private long acknowledgedUs;
+
     private long sentUs;
+    private long acknowledgedNumber;
+    private long acknowledgedUs;
     private long provenUs;
 
-    ReadBarrier(Consumer<ChainEffect.CompleteRequest> output) {
-        this.output = output;
+    ReadBarrier(MemberContext member) {
+        this.member = member;
     }
 
     /** The number of the next heartbeat, which is sent now. */
-    long next(long nowUs) {
-        sentUs = nowUs;
+    long nextHeartbeat() {
+        sentUs = member.nowUs();
         number++;
-        sentAtUs[(int) (number % REMEMBERED)] = nowUs;
+        sentAtUs[(int) (number % REMEMBERED)] = sentUs;
         return number;
     }
 
+    /** The number of the newest heartbeat sent. */
     long number() {
         return number;
     }
@@ -45,9 +52,9 @@
         return sentUs;
     }
 
-    /** Whether no heartbeat has come back for too long in a view that stands since a time. */
-    boolean isSilent(long nowUs, long viewSinceUs) {
-        return nowUs - Math.max(acknowledgedUs, viewSinceUs) > MemberContext.SILENT_US;
+    /** Whether no heartbeat has come back for too long in a view that is active since a time. */
+    boolean isSilent(long viewSinceUs) {
+        return member.nowUs() - Math.max(acknowledgedUs, viewSinceUs) > HeadContact.HEAD_TIMEOUT_US;
     }
 
     /** When the newest heartbeat came back. */
@@ -63,42 +70,41 @@
         return provenUs;
     }
 
-    /** A view has become active that was formed at a time. */
-    void onActive(long nowUs, long formedUs) {
-        acknowledgedUs = nowUs;
+    /** A view has become active now that was formed at a time. */
+    void onViewActive(long formedUs) {
+        acknowledgedUs = member.nowUs();
         provenUs = Math.max(provenUs, formedUs);
     }
 
     /** A heartbeat came back from the tail: gives the answers that waited for it. */
-    void onAcknowledged(long n, long nowUs) {
-        acknowledgedUs = nowUs;
-        acknowledged = Math.max(acknowledged, n);
-        if (number - n < REMEMBERED) {
-            provenUs = Math.max(provenUs, sentAtUs[(int) (n % REMEMBERED)]);
+    void onAcknowledged(long heartbeat) {
+        acknowledgedUs = member.nowUs();
+        acknowledgedNumber = Math.max(acknowledgedNumber, heartbeat);
+        if (number - heartbeat < REMEMBERED) {
+            provenUs = Math.max(provenUs, sentAtUs[(int) (heartbeat % REMEMBERED)]);
         }
-        while (!unproven.isEmpty() && acknowledged >= unproven.peek().barrier) {
-            var u = unproven.poll();
-            output.accept(
-                    new ChainEffect.CompleteRequest(u.request, u.outcome.status, u.outcome.text));
+        while (!pending.isEmpty() && acknowledgedNumber >= pending.peek().barrier) {
+            var read = pending.poll();
+            member.complete(read.request, read.outcome.status, read.outcome.text);
         }
     }
 
+    /** Gives an answer once a heartbeat of this number or above has come back. */
     void await(long request, ClusterState.Outcome outcome, long barrier) {
-        unproven.add(new Unproven(request, outcome, barrier));
+        pending.add(new PendingRead(request, outcome, barrier));
     }
 
-    int waiting() {
-        return unproven.size();
+    int pendingCount() {
+        return pending.size();
     }
 
     /** Whether an answer waits for a heartbeat that was not sent yet. */
     boolean needsHeartbeat() {
-        return !unproven.isEmpty() && unproven.peekLast().barrier > number;
+        return !pending.isEmpty() && pending.peekLast().barrier > number;
     }
 
-    void refuseAll(int status, String text) {
-        unproven.forEach(
-                u -> output.accept(new ChainEffect.CompleteRequest(u.request, status, text)));
-        unproven.clear();
+    void rejectAll(int status, String text) {
+        pending.forEach(read -> member.complete(read.request, status, text));
+        pending.clear();
     }
 }
--- a/core/src/main/java/martenloom/core/chain/Replication.java
+++ b/core/src/main/java/martenloom/core/chain/Replication.java
@@ -2,254 +2,261 @@
 
 import java.util.List;
 import java.util.Optional;
+import martenloom.core.chain.ElectionMessage.BallotRejected;
+import martenloom.core.chain.ReplicationMessage.AppendCommand;
+import martenloom.core.chain.ReplicationMessage.ReplicateState;
+import martenloom.core.chain.ReplicationMessage.ReplicationAck;
 import martenloom.core.state.ClusterState;
 
 /**
- * The way of a state down the chain: each member makes it durable before it passes it on, the tail
- * acknowledges, and with the acknowledgement on its way back each member knows it as committed.
+ * The way of a state down the chain: each member makes it durable before it sends it on, the tail
+ * acknowledges, and with the acknowledgement on its way back up each member knows it as committed.
+ * In an active view a write goes down as its command alone; when a view is opened, and whenever an
+ * acknowledgement takes long, the complete state goes down, by its name only to those that hold it.
+ *
+ * <p>Invariant: a member accepts nothing of a ballot below the one it has promised.
  */
 final class Replication {
-    private static final long RESEND_US = 400_000;
+    private static final long RETRANSMIT_US = 400_000;
 
     private final MemberContext member;
-    private final ChainMember owner;
+    private final Runnable onViewAccepted;
+    private final Runnable onWriteAccepted;
 
-    /** The write that is to be passed on as the change alone, at its first sending. */
+    /** The write that is to be sent as its command alone, at its first sending. */
     private Optional<ClusterState.Change> change = Optional.empty();
 
-    /**
-     * The view in which the state that opens this one was accepted, and who holds just that state.
-     */
+    /** The view in which the state that opens this one was accepted. */
     private Ballot basis = Ballot.ZERO;
 
+    /** Who holds just the state that opens this view, at its first sending. */
     private List<String> holders = List.of();
+
     private long sentUs;
 
-    Replication(MemberContext member, ChainMember owner) {
+    /**
+     * @param onViewAccepted called when the whole chain of a view formed here has its state
+     * @param onWriteAccepted called when the whole chain has accepted what this head holds
+     */
+    Replication(MemberContext member, Runnable onViewAccepted, Runnable onWriteAccepted) {
         this.member = member;
-        this.owner = owner;
+        this.onViewAccepted = onViewAccepted;
+        this.onWriteAccepted = onWriteAccepted;
     }
 
     // ---- at the head
 
-    /** Makes the state that opens a view durable here, then passes it on. */
-    void open(ClusterState state, Ballot acceptedIn, List<String> heldBy) {
+    /** Makes the state that opens a view durable here, then sends it down the chain. */
+    void openView(ClusterState state, Ballot acceptedIn, List<String> heldBy) {
         change = Optional.empty();
         basis = acceptedIn;
         holders = heldBy;
-        var ballot = member.view;
-        member.store(
-                new PersistentMemberState(ballot, ballot, state),
+        var ballot = member.view().ballot();
+        member.persistAccepted(
+                ballot,
+                state,
                 () -> {
-                    if (member.mode == MemberRole.ACTIVATING_VIEW && member.view.equals(ballot)) {
-                        passOn();
+                    if (member.is(MemberRole.ACTIVATING_VIEW)
+                            && member.view().ballot().equals(ballot)) {
+                        send();
                     }
                 });
     }
 
-    /** Makes the state that a change led to durable here, then passes the change on. */
+    /** Makes the state that a change led to durable here, then sends the change down the chain. */
     void write(ClusterState.Change made, ClusterState next) {
-        var ballot = member.view;
-        member.store(
-                new PersistentMemberState(ballot, ballot, next),
+        var ballot = member.view().ballot();
+        member.persistAccepted(
+                ballot,
+                next,
                 () -> {
-                    if (member.heading() && member.view.equals(ballot)) {
+                    if (member.isHead() && member.view().ballot().equals(ballot)) {
                         change = Optional.of(made);
-                        passOn();
+                        send();
                     }
                 });
     }
 
-    /**
-     * Passes the state on again when its acknowledgement takes long; whole, whatever was sent
-     * before.
-     */
-    void resend() {
-        if (member.nowUs - sentUs > RESEND_US) {
-            passOn();
+    /** Sends again when the acknowledgement takes long; the complete state, whatever was sent. */
+    void retransmit() {
+        if (member.nowUs() - sentUs > RETRANSMIT_US) {
+            send();
         }
     }
 
-    private void passOn() {
-        sentUs = member.nowUs;
+    private void send() {
+        sentUs = member.nowUs();
         var edition = member.state().edition;
-        if (member.chain.size() == 1) {
-            onPassAck(new ChainMessage.PassAck(member.view, edition));
+        var chain = member.view().chain();
+        if (chain.size() == 1) {
+            onReplicationAck(new ReplicationAck(member.view().ballot(), edition));
             return;
         }
-        var view = new ChainMessage.View(member.view, member.chain, member.learners);
+        var view = member.view().asChainView();
         if (change.isPresent()) {
-            member.send(member.chain.get(1), new ChainMessage.Step(view, edition, change.get()));
+            member.send(chain.get(1), new AppendCommand(view, edition, change.get()));
             change = Optional.empty();
             return;
         }
-        passState(view, basis, holders, 1);
+        sendState(view, basis, holders, 1);
         holders = List.of();
     }
 
-    /**
-     * Passes this member's state to a place of the chain: by its name to a holder, and else whole.
-     */
-    private void passState(
-            ChainMessage.View view, Ballot acceptedIn, List<String> heldBy, int place) {
-        var to = view.chain().get(place);
-        var whole = heldBy.contains(to) ? new byte[0] : member.state().bytes();
+    /** Sends this member's state to a position of the chain; without its bytes to a holder. */
+    private void sendState(ChainView view, Ballot acceptedIn, List<String> heldBy, int position) {
+        var to = view.chain().get(position);
+        var state = heldBy.contains(to) ? ChainMessage.NO_STATE : member.state().bytes();
         member.send(
-                to, new ChainMessage.Pass(view, acceptedIn, heldBy, member.state().edition, whole));
+                to, new ReplicateState(view, acceptedIn, heldBy, member.state().edition, state));
     }
 
     // ---- at a follower
 
-    void onStep(ChainMessage.Step step) {
-        var view = step.view();
-        var place = view.chain().indexOf(member.me);
-        if (place < 1
-                || member.mode != MemberRole.FOLLOWER
+    void onMessage(ReplicationMessage message) {
+        if (message instanceof AppendCommand append) {
+            member.disk().whenFree(() -> onAppendCommand(append));
+        } else if (message instanceof ReplicateState replicate) {
+            member.disk().whenFree(() -> onReplicateState(replicate));
+        } else if (message instanceof ReplicationAck ack) {
+            onReplicationAck(ack);
+        }
+    }
+
+    private void onAppendCommand(AppendCommand append) {
+        var view = append.view();
+        var position = view.positionOf(member.address());
+        if (position < 1
+                || !member.is(MemberRole.FOLLOWER)
                 || !member.holds(view.ballot())
-                || member.state().edition != step.edition() - 1) {
+                || member.state().edition != append.edition() - 1) {
             return;
         }
-        var next = member.state().decide(step.change()).next;
+        var next = member.state().decide(append.change()).next;
         if (next.isEmpty()) {
             return;
         }
-        member.heardUs = member.nowUs;
-        member.store(
-                new PersistentMemberState(view.ballot(), view.ballot(), next.get()),
+        member.contact().heard(member.nowUs());
+        member.persistAccepted(
+                view.ballot(),
+                next.get(),
                 () -> {
-                    if (view.isLast(place)) {
-                        commitAtTail(view, step.edition());
+                    if (view.isTail(position)) {
+                        commitAtTail(view, append.edition());
                     } else {
-                        member.send(view.chain().get(place + 1), step);
+                        member.send(view.chain().get(position + 1), append);
                     }
                 });
     }
 
-    void onPass(ChainMessage.Pass pass) {
-        var view = pass.view();
+    private void onReplicateState(ReplicateState replicate) {
+        var view = replicate.view();
         var ballot = view.ballot();
-        if (view.chain().indexOf(member.me) < 1 || !isForThisLife(view)) {
+        if (view.positionOf(member.address()) < 1 || !isForThisIncarnation(view)) {
             return;
         }
-        if (member.mode != MemberRole.LEARNER && ballot.compareTo(member.promised()) < 0) {
-            member.send(
-                    view.chain().get(0), new ChainMessage.Nack(ballot, member.promised().number()));
+        if (!member.is(MemberRole.LEARNER) && ballot.compareTo(member.promised()) < 0) {
+            member.send(view.head(), new BallotRejected(ballot, member.promised().number()));
             return;
         }
-        var passed = passed(pass);
-        if (passed.isEmpty()) {
-            return;
-        }
-        var state = passed.get();
-        member.told(0);
-        if (member.accepted().equals(ballot)
-                && member.state().edition >= state.edition
-                && member.mode == MemberRole.FOLLOWER) {
-            passFurther(pass, state);
-            return;
-        }
-        if (member.accepted().equals(ballot) && member.state().edition > state.edition) {
-            return;
+        stateOf(replicate).ifPresent(state -> accept(replicate, state));
+    }
+
+    private void accept(ReplicateState replicate, ClusterState state) {
+        var view = replicate.view();
+        var ballot = view.ballot();
+        member.contact().heardProof(member.nowUs(), 0);
+        if (member.accepted().equals(ballot)) {
+            if (member.is(MemberRole.FOLLOWER) && member.state().edition >= state.edition) {
+                forward(replicate, state);
+                return;
+            }
+            if (member.state().edition > state.edition) {
+                return;
+            }
         }
-        owner.become(MemberRole.FOLLOWER);
-        member.released = false;
-        member.follow(ballot, view.chain());
-        member.store(
-                new PersistentMemberState(ballot, ballot, state), () -> passFurther(pass, state));
+        member.become(MemberRole.FOLLOWER);
+        member.departure().revokeRelease();
+        member.view().follow(ballot, view.chain());
+        member.persistAccepted(ballot, state, () -> forward(replicate, state));
     }
 
     /**
-     * A learner takes only what names its nonce: what was meant for its former life, with its
+     * A learner takes only what names its incarnation: what was meant for a former one, with its
      * promises, is void.
      */
-    private boolean isForThisLife(ChainMessage.View view) {
-        var nonce = Optional.ofNullable(view.learners().get(member.me));
-        var mine = nonce.isPresent() && nonce.get() == member.nonce;
-        if (member.mode == MemberRole.LEARNER) {
-            return mine;
+    private boolean isForThisIncarnation(ChainView view) {
+        var taught = Optional.ofNullable(view.learners().get(member.address()));
+        var isThis = taught.isPresent() && taught.get() == member.incarnation();
+        if (member.is(MemberRole.LEARNER)) {
+            return isThis;
         }
-        return nonce.isEmpty()
-                || mine
+        return taught.isEmpty()
+                || isThis
                 || member.accepted().equals(view.ballot())
                 || view.ballot().compareTo(member.promised()) < 0;
     }
 
-    /** The state that a pass brings; nothing when it is only named and this member has another. */
-    private Optional<ClusterState> passed(ChainMessage.Pass pass) {
-        if (pass.state().length > 0) {
-            return Optional.of(ClusterState.of(pass.state()));
+    /** The state that is sent; empty when it is only named and this member has another. */
+    private Optional<ClusterState> stateOf(ReplicateState replicate) {
+        if (replicate.hasState()) {
+            return Optional.of(ClusterState.of(replicate.state()));
         }
         var acceptedIn = member.accepted();
-        var held =
-                member.state().edition == pass.edition()
-                        && (acceptedIn.equals(pass.basis())
-                                || acceptedIn.equals(pass.view().ballot()));
-        return held && member.mode != MemberRole.LEARNER
+        var isHeld =
+                member.state().edition == replicate.edition()
+                        && (acceptedIn.equals(replicate.basis())
+                                || acceptedIn.equals(replicate.view().ballot()));
+        return isHeld && !member.is(MemberRole.LEARNER)
                 ? Optional.of(member.state())
                 : Optional.empty();
     }
 
-    private void passFurther(ChainMessage.Pass pass, ClusterState state) {
-        var view = pass.view();
+    private void forward(ReplicateState replicate, ClusterState state) {
+        var view = replicate.view();
         if (!member.accepted().equals(view.ballot()) || member.state().edition != state.edition) {
             return;
         }
-        var place = view.chain().indexOf(member.me);
-        if (view.isLast(place)) {
+        var position = view.positionOf(member.address());
+        if (view.isTail(position)) {
             commitAtTail(view, state.edition);
         } else {
-            passState(view, pass.basis(), pass.holders(), place + 1);
+            sendState(view, replicate.basis(), replicate.holders(), position + 1);
         }
     }
 
-    private void commitAtTail(ChainMessage.View view, long edition) {
-        commit(view.ballot(), edition);
+    private void commitAtTail(ChainView view, long edition) {
+        member.commit(view.ballot(), edition);
         member.send(
                 view.chain().get(view.chain().size() - 2),
-                new ChainMessage.PassAck(view.ballot(), edition));
+                new ReplicationAck(view.ballot(), edition));
     }
 
     // ---- acknowledged
 
-    void onPassAck(ChainMessage.PassAck ack) {
-        if (!ack.ballot().equals(member.accepted()) || !ack.ballot().equals(member.view)) {
+    private void onReplicationAck(ReplicationAck ack) {
+        if (!ack.ballot().equals(member.accepted())
+                || !ack.ballot().equals(member.view().ballot())) {
             return;
         }
-        switch (member.mode) {
+        var isNewest = ack.edition() == member.state().edition;
+        switch (member.role()) {
             case FOLLOWER -> {
-                commit(ack.ballot(), ack.edition());
-                var place = member.chainSeen.indexOf(member.me);
-                if (place > 0) {
-                    member.send(member.chainSeen.get(place - 1), ack);
-                }
+                member.commit(ack.ballot(), ack.edition());
+                member.sendUpstream(ack);
             }
             case ACTIVATING_VIEW -> {
-                if (ack.edition() == member.state().edition) {
-                    commit(ack.ballot(), ack.edition());
-                    owner.onViewActive();
+                if (isNewest) {
+                    member.commit(ack.ballot(), ack.edition());
+                    onViewAccepted.run();
                 }
             }
             case HEAD -> {
-                commit(ack.ballot(), ack.edition());
-                if (ack.edition() == member.state().edition && member.disk.isFree()) {
-                    owner.onWriteAcknowledged();
+                member.commit(ack.ballot(), ack.edition());
+                if (isNewest && member.disk().isFree()) {
+                    onWriteAccepted.run();
                 }
             }
             default -> {}
         }
     }
-
-    /**
-     * The state that this member accepted in a view is committed, if it is the one of that edition.
-     */
-    void commit(Ballot ballot, long edition) {
-        var known = member.committed;
-        var isIt = member.accepted().equals(ballot) && member.state().edition == edition;
-        if (isIt && (edition > known.edition || known.edition == 0)) {
-            member.committed = member.state();
-            if (known.edition != edition || !known.roster.equals(member.committed.roster)) {
-                member.output.add(new ChainEffect.StateCommitted(member.committed));
-            }
-        }
-    }
 }
--- a/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
@@ -25,24 +25,26 @@
     /** Each message by its name in the recorded file. */
     private static Map<String, ChainMessage> messages() {
         var messages = new LinkedHashMap<String, ChainMessage>();
-        messages.put("prepare", new ChainMessage.Prepare(NEWER, OLDER, EDITION, OLDER));
+        messages.put("prepare", new ElectionMessage.Prepare(NEWER, OLDER, EDITION, OLDER));
         messages.put(
                 "prepare, nothing released",
-                new ChainMessage.Prepare(NEWER, OLDER, EDITION, Ballot.ZERO));
-        messages.put("answer to prepare, refused", new ChainMessage.Refused(NEWER, 13));
+                new ElectionMessage.Prepare(NEWER, OLDER, EDITION, Ballot.ZERO));
+        messages.put("answer to prepare, refused", new ElectionMessage.PromiseRejected(NEWER, 13));
         messages.put(
                 "answer to prepare, promised",
-                new ChainMessage.Promised(NEWER, false, OLDER, EDITION, STATE));
+                new ElectionMessage.Promise(NEWER, false, OLDER, EDITION, STATE));
         messages.put(
                 "answer to prepare, promised by a leaver without the state",
-                new ChainMessage.Promised(NEWER, true, OLDER, EDITION, NO_STATE));
+                new ElectionMessage.Promise(NEWER, true, OLDER, EDITION, NO_STATE));
         messages.put(
                 "answer to prepare, learner",
-                new ChainMessage.Learner(NEWER, 0x8123_4567_89ab_cdefL));
-        messages.put("pass", new ChainMessage.Pass(view(), OLDER, List.of(), EDITION, STATE));
+                new ElectionMessage.LearnerOffer(NEWER, 0x8123_4567_89ab_cdefL));
+        messages.put(
+                "pass",
+                new ReplicationMessage.ReplicateState(view(), OLDER, List.of(), EDITION, STATE));
         messages.put(
                 "pass with learners and holders",
-                new ChainMessage.Pass(
+                new ReplicationMessage.ReplicateState(
                         viewWithLearners(),
                         OLDER,
                         List.of("10.0.0.1", "10.2.0.1"),
@@ -50,31 +52,35 @@
                         STATE));
         messages.put(
                 "pass without the state",
-                new ChainMessage.Pass(view(), OLDER, List.of("10.2.0.1"), EDITION, NO_STATE));
-        messages.put("step", new ChainMessage.Step(view(), EDITION, change()));
+                new ReplicationMessage.ReplicateState(
+                        view(), OLDER, List.of("10.2.0.1"), EDITION, NO_STATE));
+        messages.put("step", new ReplicationMessage.AppendCommand(view(), EDITION, change()));
+        messages.put(
+                "step with learners",
+                new ReplicationMessage.AppendCommand(viewWithLearners(), EDITION, change()));
+        messages.put("answer to pass", new ReplicationMessage.ReplicationAck(NEWER, EDITION));
+        messages.put("answer to pass, refused", new ElectionMessage.BallotRejected(OLDER, 12));
+        messages.put(
+                "heartbeat", new HeartbeatMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000));
+        messages.put("answer to heartbeat", new HeartbeatMessage.HeartbeatAck(NEWER, 77));
         messages.put(
-                "step with learners", new ChainMessage.Step(viewWithLearners(), EDITION, change()));
-        messages.put("answer to pass", new ChainMessage.PassAck(NEWER, EDITION));
-        messages.put("answer to pass, refused", new ChainMessage.Nack(OLDER, 12));
-        messages.put("heartbeat", new ChainMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000));
-        messages.put("answer to heartbeat", new ChainMessage.HeartbeatAck(NEWER, 77));
-        messages.put("news", new ChainMessage.News(NEWER, CHAIN, EDITION, 1_000_000));
-        messages.put("answer to news", new ChainMessage.Here(13));
-        messages.put("pull", new ChainMessage.Pull(EDITION));
-        messages.put("answer to pull", new ChainMessage.Snapshot(STATE));
-        messages.put("handover", new ChainMessage.Handover(NEWER));
+                "news", new AnnouncementMessage.ViewAnnouncement(NEWER, CHAIN, EDITION, 1_000_000));
+        messages.put("answer to news", new AnnouncementMessage.JoinRequest(13));
+        messages.put("pull", new AnnouncementMessage.SnapshotRequest(EDITION));
+        messages.put("answer to pull", new AnnouncementMessage.SnapshotResponse(STATE));
+        messages.put("handover", new ElectionMessage.HeadHandover(NEWER));
         return messages;
     }
 
-    private static ChainMessage.View view() {
-        return new ChainMessage.View(NEWER, CHAIN, Map.of());
+    private static ChainView view() {
+        return new ChainView(NEWER, CHAIN, Map.of());
     }
 
-    private static ChainMessage.View viewWithLearners() {
+    private static ChainView viewWithLearners() {
         var learners = new TreeMap<String, Long>();
         learners.put("10.0.0.1", 9L);
         learners.put("10.2.0.1", -9L);
-        return new ChainMessage.View(NEWER, CHAIN, learners);
+        return new ChainView(NEWER, CHAIN, learners);
     }
 
     private static ClusterState.Change change() {
@@ -87,15 +93,14 @@
     @Test
     void everyKindOfMessageIsRecorded() {
         assertEquals(
-                List.of(ChainMessage.class.getPermittedSubclasses()).stream()
-                        .collect(Collectors.toSet()),
+                ChainMessageKinds.all(),
                 messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
     }
 
     @Test
     void messagesAreWrittenAsRecorded() {
         var written = new LinkedHashMap<String, byte[]>();
-        messages().forEach((name, message) -> written.put(name, message.encode().bytes()));
+        messages().forEach((name, message) -> written.put(name, ChainMessageCodec.encode(message)));
         GoldenFile.assertRecorded(GoldenFile.read(MESSAGES), written);
     }
 
@@ -105,43 +110,47 @@
         messages()
                 .forEach(
                         (name, message) -> {
-                            var read = ChainMessage.decode(recorded.get(name)).orElseThrow();
+                            var read = ChainMessageCodec.decode(recorded.get(name)).orElseThrow();
                             assertEquals(message.getClass(), read.getClass(), name);
                             GoldenFile.assertSameBytes(
-                                    name, recorded.get(name), read.encode().bytes());
+                                    name, recorded.get(name), ChainMessageCodec.encode(read));
                         });
     }
 
     @Test
     void fieldsOfRecordedMessagesAreRead() {
-        assertEquals(new ChainMessage.Prepare(NEWER, OLDER, EDITION, OLDER), read("prepare"));
-        assertEquals(new ChainMessage.Refused(NEWER, 13), read("answer to prepare, refused"));
+        assertEquals(new ElectionMessage.Prepare(NEWER, OLDER, EDITION, OLDER), read("prepare"));
         assertEquals(
-                new ChainMessage.Learner(NEWER, 0x8123_4567_89ab_cdefL),
+                new ElectionMessage.PromiseRejected(NEWER, 13), read("answer to prepare, refused"));
+        assertEquals(
+                new ElectionMessage.LearnerOffer(NEWER, 0x8123_4567_89ab_cdefL),
                 read("answer to prepare, learner"));
-        var promised = (ChainMessage.Promised) read("answer to prepare, promised");
+        var promised = (ElectionMessage.Promise) read("answer to prepare, promised");
         assertEquals(OLDER, promised.accepted());
         assertEquals(EDITION, promised.edition());
         assertArrayEquals(STATE, promised.state());
-        var pass = (ChainMessage.Pass) read("pass with learners and holders");
+        var pass = (ReplicationMessage.ReplicateState) read("pass with learners and holders");
         assertEquals(viewWithLearners(), pass.view());
         assertEquals(List.of("10.0.0.1", "10.2.0.1"), pass.holders());
         assertEquals(OLDER, pass.basis());
         assertArrayEquals(STATE, pass.state());
-        var step = (ChainMessage.Step) read("step with learners");
+        var step = (ReplicationMessage.AppendCommand) read("step with learners");
         assertEquals(viewWithLearners(), step.view());
         assertEquals(EDITION, step.edition());
         assertEquals("north/m", step.change().subject);
         assertEquals(6, step.change().version);
         assertEquals(
-                new ChainMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000),
+                new HeartbeatMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000),
                 read("heartbeat"));
-        assertEquals(new ChainMessage.News(NEWER, CHAIN, EDITION, 1_000_000), read("news"));
-        assertEquals(new ChainMessage.Nack(OLDER, 12), read("answer to pass, refused"));
-        assertEquals(new ChainMessage.Handover(NEWER), read("handover"));
+        assertEquals(
+                new AnnouncementMessage.ViewAnnouncement(NEWER, CHAIN, EDITION, 1_000_000),
+                read("news"));
+        assertEquals(
+                new ElectionMessage.BallotRejected(OLDER, 12), read("answer to pass, refused"));
+        assertEquals(new ElectionMessage.HeadHandover(NEWER), read("handover"));
     }
 
     private static ChainMessage read(String name) {
-        return ChainMessage.decode(GoldenFile.read(MESSAGES).get(name)).orElseThrow();
+        return ChainMessageCodec.decode(GoldenFile.read(MESSAGES).get(name)).orElseThrow();
     }
 }
--- a/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.stream.Collectors;
 import martenloom.core.state.ClusterState;
 import org.junit.jupiter.api.Test;
 
@@ -18,8 +19,7 @@
 final class ChainMessageTest {
     private static final Ballot FIRST = new Ballot(3, "a");
     private static final Ballot SECOND = new Ballot(4, "b");
-    private static final ChainMessage.View VIEW =
-            new ChainMessage.View(SECOND, List.of("b", "c"), Map.of("c", 9L));
+    private static final ChainView VIEW = new ChainView(SECOND, List.of("b", "c"), Map.of("c", 9L));
     private static final ClusterState.Change CHANGE =
             new ClusterState.Change(ClusterState.Act.ROSTER, 7, "d", "x");
 
@@ -27,32 +27,34 @@
     void eachMessageIsReadAsItWasWritten() {
         var all =
                 List.of(
-                        new ChainMessage.Prepare(SECOND, FIRST, 5, FIRST),
-                        new ChainMessage.Refused(SECOND, 8),
-                        new ChainMessage.Promised(SECOND, true, FIRST, 5, new byte[] {1, 2}),
-                        new ChainMessage.Learner(SECOND, 77),
-                        new ChainMessage.Pass(VIEW, FIRST, List.of("c"), 5, new byte[] {3}),
-                        new ChainMessage.Step(VIEW, 6, CHANGE),
-                        new ChainMessage.PassAck(SECOND, 6),
-                        new ChainMessage.Nack(SECOND, 9),
-                        new ChainMessage.Heartbeat(SECOND, 12, List.of("b", "c"), 6, 1000),
-                        new ChainMessage.HeartbeatAck(SECOND, 12),
-                        new ChainMessage.News(SECOND, List.of("b", "c"), 6, 1000),
-                        new ChainMessage.Here(4),
-                        new ChainMessage.Pull(6),
-                        new ChainMessage.Snapshot(new byte[] {4}),
-                        new ChainMessage.Handover(SECOND));
+                        new ElectionMessage.Prepare(SECOND, FIRST, 5, FIRST),
+                        new ElectionMessage.PromiseRejected(SECOND, 8),
+                        new ElectionMessage.Promise(SECOND, true, FIRST, 5, new byte[] {1, 2}),
+                        new ElectionMessage.LearnerOffer(SECOND, 77),
+                        new ReplicationMessage.ReplicateState(
+                                VIEW, FIRST, List.of("c"), 5, new byte[] {3}),
+                        new ReplicationMessage.AppendCommand(VIEW, 6, CHANGE),
+                        new ReplicationMessage.ReplicationAck(SECOND, 6),
+                        new ElectionMessage.BallotRejected(SECOND, 9),
+                        new HeartbeatMessage.Heartbeat(SECOND, 12, List.of("b", "c"), 6, 1000),
+                        new HeartbeatMessage.HeartbeatAck(SECOND, 12),
+                        new AnnouncementMessage.ViewAnnouncement(
+                                SECOND, List.of("b", "c"), 6, 1000),
+                        new AnnouncementMessage.JoinRequest(4),
+                        new AnnouncementMessage.SnapshotRequest(6),
+                        new AnnouncementMessage.SnapshotResponse(new byte[] {4}),
+                        new ElectionMessage.HeadHandover(SECOND));
         assertEquals(
-                ChainMessage.class.getPermittedSubclasses().length,
-                all.stream().map(Object::getClass).distinct().count());
+                ChainMessageKinds.all(),
+                all.stream().map(Object::getClass).collect(Collectors.toSet()));
         for (var message : all) {
-            var bytes = message.encode().bytes();
-            assertTrue(bytes[0] <= ChainMember.LAST_TYPE);
-            var read = ChainMessage.decode(bytes).orElseThrow();
+            var bytes = ChainMessageCodec.encode(message);
+            assertTrue(bytes[0] <= ChainMember.HIGHEST_MESSAGE_TYPE);
+            var read = ChainMessageCodec.decode(bytes).orElseThrow();
             assertEquals(message.getClass(), read.getClass());
-            assertArrayEquals(bytes, read.encode().bytes());
+            assertArrayEquals(bytes, ChainMessageCodec.encode(read));
         }
-        assertTrue(ChainMessage.decode(new byte[] {40, 1, 2}).isEmpty(), "not the chain's");
+        assertTrue(ChainMessageCodec.decode(new byte[] {40, 1, 2}).isEmpty(), "not the chain's");
     }
 
     /**
@@ -69,9 +71,11 @@
     private static long storesAfterNaming(Ballot acceptedIn, ClusterState state) {
         var kept = Optional.of(new PersistentMemberState(FIRST, acceptedIn, state));
         var member = new ChainMember("c", 1, kept, Comparator.naturalOrder(), 0);
-        var view = new ChainMessage.View(SECOND, List.of("b", "c"), Map.of());
-        var pass = new ChainMessage.Pass(view, FIRST, List.of("c"), state.edition, new byte[0]);
-        member.onMessage(10, "b", pass.encode().bytes());
+        var view = new ChainView(SECOND, List.of("b", "c"), Map.of());
+        var pass =
+                new ReplicationMessage.ReplicateState(
+                        view, FIRST, List.of("c"), state.edition, new byte[0]);
+        member.onMessage(10, "b", ChainMessageCodec.encode(pass));
         return member.drainEffects().stream()
                 .filter(c -> c instanceof ChainEffect.PersistState)
                 .count();
@@ -85,14 +89,20 @@
                         FIRST, FIRST, ClusterState.founded(List.of("a", "b", "c")));
         var member = new ChainMember("c", 1, Optional.of(kept), Comparator.naturalOrder(), 0);
         member.startLeaving(10);
-        member.onMessage(20, "b", bytes(new ChainMessage.News(SECOND, List.of("b", "a"), 0, 0)));
+        member.onMessage(
+                20,
+                "b",
+                bytes(new AnnouncementMessage.ViewAnnouncement(SECOND, List.of("b", "a"), 0, 0)));
         assertTrue(member.mayTerminate(30));
         member.drainEffects();
         var next = new Ballot(5, "a");
-        member.onMessage(40, "a", bytes(new ChainMessage.Prepare(next, FIRST, 0, Ballot.ZERO)));
+        member.onMessage(40, "a", bytes(new ElectionMessage.Prepare(next, FIRST, 0, Ballot.ZERO)));
         carryOutStores(member, 50);
         assertFalse(member.mayTerminate(60));
-        member.onMessage(70, "a", bytes(new ChainMessage.News(next, List.of("a", "b"), 0, 0)));
+        member.onMessage(
+                70,
+                "a",
+                bytes(new AnnouncementMessage.ViewAnnouncement(next, List.of("a", "b"), 0, 0)));
         assertTrue(member.mayTerminate(80), "the new view does without it");
     }
 
@@ -107,8 +117,8 @@
         assertEquals(MemberRole.CANDIDATE, bidder.role());
         carryOutStores(bidder, 2_001_000);
         var ballot = bidder.memberState().promised();
-        var promise = new ChainMessage.Promised(ballot, false, FIRST, 0, new byte[0]);
-        var learner = new ChainMessage.Learner(ballot, 77);
+        var promise = new ElectionMessage.Promise(ballot, false, FIRST, 0, new byte[0]);
+        var learner = new ElectionMessage.LearnerOffer(ballot, 77);
         bidder.onMessage(2_002_000, "b", bytes(promise));
         bidder.onMessage(2_003_000, "b", bytes(learner));
         bidder.onMessage(2_004_000, "b", bytes(promise));
@@ -130,7 +140,7 @@
         carryOutStores(outsider, 2_001_000);
         var ballot = outsider.memberState().promised();
         var newer = ClusterState.founded(List.of("b", "c", "d")).bytes();
-        var promise = new ChainMessage.Promised(ballot, false, SECOND, 1, newer);
+        var promise = new ElectionMessage.Promise(ballot, false, SECOND, 1, newer);
         outsider.onMessage(2_002_000, "b", bytes(promise));
         assertEquals(MemberRole.IDLE, outsider.role());
         outsider.onTick(4_900_000);
@@ -140,7 +150,7 @@
     }
 
     private static byte[] bytes(ChainMessage message) {
-        return message.encode().bytes();
+        return ChainMessageCodec.encode(message);
     }
 
     private static void carryOutStores(ChainMember member, long t) {
--- a/core/src/test/java/martenloom/core/chain/ChainStormTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainStormTest.java
@@ -95,17 +95,17 @@
                     n.upAt = Long.MAX_VALUE;
                 });
         var t0 = w.now;
-        while (w.now < t0 + ChainMember.GONE_US - 5_000_000) {
+        while (w.now < t0 + ChainMember.REMOVE_ABSENT_AFTER_US - 5_000_000) {
             w.step();
         }
         assertEquals(N, w.head().committed().roster.size(), "not before its time");
-        while (w.now < t0 + 2 * ChainMember.GONE_US) {
+        while (w.now < t0 + 2 * ChainMember.REMOVE_ABSENT_AFTER_US) {
             w.step();
         }
         assertEquals(
                 N, w.head().committed().roster.size(), "three in the chain are fewer than four");
         w.nodes.values().forEach(n -> n.core.ifPresent(c -> c.setMinimumRosterSize(3)));
-        while (w.now < t0 + 4 * ChainMember.GONE_US) {
+        while (w.now < t0 + 4 * ChainMember.REMOVE_ABSENT_AFTER_US) {
             w.step();
         }
         var r = w.head().committed().roster;
