--- a/core/src/main/java/martenloom/core/chain/BallotAcceptor.java
+++ b/core/src/main/java/martenloom/core/chain/BallotAcceptor.java
@@ -52,14 +52,14 @@
         member.departure().revokeRelease();
         var state = member.state();
         var order = member.accepted().compareTo(prepare.accepted());
-        var isNewer = order > 0 || order == 0 && state.edition > prepare.edition();
+        var isNewer = order > 0 || order == 0 && state.edition() > prepare.edition();
         member.send(
                 to,
                 new Promise(
                         prepare.ballot(),
                         member.departure().isLeaving(),
                         member.accepted(),
-                        state.edition,
+                        state.edition(),
                         isNewer ? state.bytes() : ChainMessage.NO_STATE));
     }
 
--- a/core/src/main/java/martenloom/core/chain/Candidacy.java
+++ b/core/src/main/java/martenloom/core/chain/Candidacy.java
@@ -95,7 +95,7 @@
 
     /** The candidate's own promise is durable, with what it accepted last. */
     void voteForSelf(Ballot accepted, ClusterState state) {
-        votes.put(self, new Vote(accepted, state.edition, Optional.of(state)));
+        votes.put(self, new Vote(accepted, state.edition(), Optional.of(state)));
         asked.add(self);
     }
 
@@ -165,7 +165,7 @@
 
     /** Whether a member takes part without being in the newest roster that was found. */
     boolean isOnlyJoining(String address) {
-        return hasOwnVote() && !newest().state.get().roster.contains(address);
+        return hasOwnVote() && !newest().state.get().roster().members().contains(address);
     }
 
     /** Whether the view can be formed: a majority promised, and the others had time to answer. */
--- a/core/src/main/java/martenloom/core/chain/ChainEffect.java
+++ b/core/src/main/java/martenloom/core/chain/ChainEffect.java
@@ -1,6 +1,7 @@
 package martenloom.core.chain;
 
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
 
 /**
  * What the owner of a {@link ChainMember} has to carry out, in the order given: the chain itself
@@ -21,8 +22,8 @@
      */
     record PersistState(long token, PersistentMemberState memberState) implements ChainEffect {}
 
-    /** Answer a request that was submitted; the status is one of HTTP. */
-    record CompleteRequest(long request, int status, String text) implements ChainEffect {}
+    /** Answer a request that was submitted; the code says what became of it. */
+    record CompleteRequest(long request, ResultCode code, String text) implements ChainEffect {}
 
     /** A newer state is known to be committed. */
     record StateCommitted(ClusterState state) implements ChainEffect {}
--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -6,6 +6,9 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.StampedCommand;
 
 /**
  * One member of the chain that replicates the cluster state: time, messages and requests in, {@link
@@ -195,7 +198,9 @@
      */
     public boolean mayTerminate(long nowUs) {
         var known = committed();
-        var nobodyStays = known.edition > 0 && known.departed.containsAll(known.roster);
+        var nobodyStays =
+                known.edition() > 0
+                        && known.roster().departed().containsAll(known.roster().members());
         return member.departure().isReleased()
                 || member.is(MemberRole.LEARNER)
                 || nobodyStays && member.departure().hasWaitedForNewcomers(nowUs);
@@ -224,11 +229,11 @@
     /** The state of a PersistState effect is durable. */
     public void onPersisted(long nowUs, long token) {
         member.advanceTo(nowUs);
-        var before = member.state().edition;
+        var before = member.state().edition();
         if (!member.disk().onStored(token)) {
             return;
         }
-        if (member.state().edition != before) {
+        if (member.state().edition() != before) {
             jobClock.onNewState(member.nowUs());
         }
         member.disk().runDeferred();
@@ -236,19 +241,19 @@
     }
 
     /**
-     * A change is requested; answered by a CompleteRequest effect with the request's number, sooner
-     * or later. Only a head decides requests, others reject them at once.
+     * A command is requested; answered by a CompleteRequest effect with the request's number,
+     * sooner or later. Only a head decides requests, others reject them at once.
      */
-    public void submit(long nowUs, long request, ClusterState.Change change) {
+    public void submit(long nowUs, long request, StampedCommand command) {
         member.advanceTo(nowUs);
         if (!isHead() || requests.isFull()) {
             requests.reject(request, "not the head of an active chain");
             return;
         }
-        if (change.act == ClusterState.Act.LEAVE) {
-            membership.onLeaveRequest(change.subject, change.base == ClusterState.LEAVE_NOW);
+        if (command.command() instanceof MarkDeparting departing) {
+            membership.onLeaveRequest(departing.member(), departing.urgency() == Urgency.IMMEDIATE);
         }
-        requests.submit(request, change);
+        requests.submit(request, command);
         proceed();
     }
 
@@ -363,7 +368,7 @@
                                         new ElectionMessage.HeadHandover(member.view().ballot())));
         var step = membership.next();
         if (step instanceof MembershipStep.ChangeRoster roster) {
-            requests.submitFirst(roster.change());
+            requests.submitFirst(roster.command());
         } else if (step instanceof MembershipStep.StartView) {
             election.start();
         }
--- a/core/src/main/java/martenloom/core/chain/ChainMessageCodec.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMessageCodec.java
@@ -19,7 +19,7 @@
 import martenloom.core.chain.ReplicationMessage.AppendCommand;
 import martenloom.core.chain.ReplicationMessage.ReplicateState;
 import martenloom.core.chain.ReplicationMessage.ReplicationAck;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandCodec;
 
 /**
  * The form of the chain's messages on the wire: a type byte, then the fields in order. The numbers
@@ -142,7 +142,7 @@
         }
         if (message instanceof AppendCommand append) {
             var out = begin(APPEND_COMMAND, append.view()).i64(append.edition());
-            append.change().write(out);
+            CommandCodec.write(out, append.command());
             return out;
         }
         var ack = (ReplicationAck) message;
@@ -154,7 +154,7 @@
     }
 
     private static AppendCommand readAppendCommand(RecordReader in) {
-        return new AppendCommand(readView(in), in.i64(), ClusterState.Change.read(in));
+        return new AppendCommand(readView(in), in.i64(), CommandCodec.read(in));
     }
 
     // ---- heartbeats
--- a/core/src/main/java/martenloom/core/chain/CommittedState.java
+++ b/core/src/main/java/martenloom/core/chain/CommittedState.java
@@ -21,15 +21,16 @@
     }
 
     long edition() {
-        return state.edition;
+        return state.edition();
     }
 
     /** A state that this member accepted is known to be accepted by the whole chain. */
     void commit(ClusterState accepted) {
         var known = state;
-        if (accepted.edition > known.edition || known.edition == 0) {
+        if (accepted.edition() > known.edition() || known.edition() == 0) {
             state = accepted;
-            if (known.edition != accepted.edition || !known.roster.equals(accepted.roster)) {
+            if (known.edition() != accepted.edition()
+                    || !known.roster().members().equals(accepted.roster().members())) {
                 effects.accept(new ChainEffect.StateCommitted(accepted));
             }
         }
@@ -37,7 +38,7 @@
 
     /** A committed state came from another member. */
     void install(ClusterState snapshot) {
-        if (snapshot.edition > state.edition) {
+        if (snapshot.edition() > state.edition()) {
             state = snapshot;
             effects.accept(new ChainEffect.StateCommitted(snapshot));
         }
--- a/core/src/main/java/martenloom/core/chain/MemberContext.java
+++ b/core/src/main/java/martenloom/core/chain/MemberContext.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
 
 /**
  * What the parts of one chain member share: who it is, its role, its clock, what it keeps, and the
@@ -57,7 +58,8 @@
         this.roleListener = roleListener;
         role = kept.isPresent() ? MemberRole.IDLE : MemberRole.LEARNER;
         disk = new DurableState(kept.orElseGet(MemberContext::emptyDisk), effects::add);
-        committed = new CommittedState(ClusterState.founded(state().roster), effects::add);
+        committed =
+                new CommittedState(ClusterState.founded(state().roster().members()), effects::add);
         contact =
                 new HeadContact(
                         nowUs - HeadContact.HEAD_TIMEOUT_US, nowUs + FIRST_ELECTION_AFTER_US);
@@ -130,7 +132,7 @@
 
     /** Commits the accepted state, if it is the one of an edition accepted in a view. */
     void commit(Ballot ballot, long edition) {
-        if (accepted().equals(ballot) && state().edition == edition) {
+        if (accepted().equals(ballot) && state().edition() == edition) {
             committed.commit(state());
         }
     }
@@ -192,8 +194,8 @@
         }
     }
 
-    void complete(long request, int status, String text) {
-        effects.add(new ChainEffect.CompleteRequest(request, status, text));
+    void complete(long request, ResultCode code, String text) {
+        effects.add(new ChainEffect.CompleteRequest(request, code, text));
     }
 
     List<ChainEffect> drainEffects() {
--- a/core/src/main/java/martenloom/core/chain/Membership.java
+++ b/core/src/main/java/martenloom/core/chain/Membership.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.AddMember;
+import martenloom.core.state.Command.MembershipCommand;
+import martenloom.core.state.Command.RemoveMember;
+import martenloom.core.state.StampedCommand;
 
 /**
  * Who belongs to the chain and to the roster, decided by the head between two writes.
@@ -128,14 +131,14 @@
         refresh();
         var removed = missingToRemove().or(this::leaverToRemove);
         if (removed.isPresent()) {
-            return change(ClusterState.Act.ROSTER_OUT, removed.get());
+            return change(new RemoveMember(removed.get()));
         }
         if (mayReleaseLeavers() && !isLeaving(member.address())) {
             return START_VIEW;
         }
         var added = toAdd();
         if (added.isPresent()) {
-            return change(ClusterState.Act.ROSTER, added.get());
+            return change(new AddMember(added.get()));
         }
         var isSettled = member.nowUs() - member.view().sinceUs() >= VIEW_SETTLES_US;
         return isSettled && someoneWaitsOutside() ? START_VIEW : NO_STEP;
@@ -157,8 +160,8 @@
         return Optional.of(staying().get(0));
     }
 
-    private static MembershipStep change(ClusterState.Act act, String subject) {
-        return new MembershipStep.ChangeRoster(new ClusterState.Change(act, 0, subject, ""));
+    private static MembershipStep change(MembershipCommand command) {
+        return new MembershipStep.ChangeRoster(StampedCommand.of(command));
     }
 
     private List<String> chain() {
@@ -166,11 +169,11 @@
     }
 
     private List<String> roster() {
-        return member.state().roster;
+        return member.state().roster().members();
     }
 
     private boolean isDeparted(String address) {
-        return member.state().departed.contains(address);
+        return member.state().roster().departed().contains(address);
     }
 
     private boolean isLeaving(String address) {
--- a/core/src/main/java/martenloom/core/chain/MembershipStep.java
+++ b/core/src/main/java/martenloom/core/chain/MembershipStep.java
@@ -1,11 +1,11 @@
 package martenloom.core.chain;
 
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.StampedCommand;
 
 /** What {@link Membership} has the head do next; one step at a time, between two writes. */
 sealed interface MembershipStep {
     /** Write a change of the roster by one member, as a command like any other. */
-    record ChangeRoster(ClusterState.Change change) implements MembershipStep {}
+    record ChangeRoster(StampedCommand command) implements MembershipStep {}
 
     /** Begin a new view: with those outside the chain, or without those that leave. */
     record StartView() implements MembershipStep {}
--- a/core/src/main/java/martenloom/core/chain/ReadBarrier.java
+++ b/core/src/main/java/martenloom/core/chain/ReadBarrier.java
@@ -3,6 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandResult;
+import martenloom.core.state.ResultCode;
 
 /**
  * Heartbeats as proof that a head still is one. A heartbeat that was sent after a question and has
@@ -17,7 +19,7 @@
     private static final int REMEMBERED = 64;
 
     /** An answer that writes nothing, until the heartbeat that proves this head. */
-    private record PendingRead(long request, ClusterState.Outcome outcome, long barrier) {}
+    private record PendingRead(long request, CommandResult<ClusterState> outcome, long barrier) {}
 
     private final MemberContext member;
     private final Deque<PendingRead> pending = new ArrayDeque<>();
@@ -85,12 +87,12 @@
         }
         while (!pending.isEmpty() && acknowledgedNumber >= pending.peek().barrier) {
             var read = pending.poll();
-            member.complete(read.request, read.outcome.status, read.outcome.text);
+            member.complete(read.request, read.outcome.code(), read.outcome.text());
         }
     }
 
     /** Gives an answer once a heartbeat of this number or above has come back. */
-    void await(long request, ClusterState.Outcome outcome, long barrier) {
+    void await(long request, CommandResult<ClusterState> outcome, long barrier) {
         pending.add(new PendingRead(request, outcome, barrier));
     }
 
@@ -103,8 +105,8 @@
         return !pending.isEmpty() && pending.peekLast().barrier > number;
     }
 
-    void rejectAll(int status, String text) {
-        pending.forEach(read -> member.complete(read.request, status, text));
+    void rejectAll(ResultCode code, String text) {
+        pending.forEach(read -> member.complete(read.request, code, text));
         pending.clear();
     }
 }
--- a/core/src/main/java/martenloom/core/chain/ReplicatedJobClock.java
+++ b/core/src/main/java/martenloom/core/chain/ReplicatedJobClock.java
@@ -28,6 +28,6 @@
     }
 
     long timeUs(ClusterState state, long nowUs) {
-        return state.jobTable.clockUs + Math.max(0, nowUs - heldSinceUs) + downtimeUs;
+        return state.jobs().clockUs() + Math.max(0, nowUs - heldSinceUs) + downtimeUs;
     }
 }
--- a/core/src/main/java/martenloom/core/chain/Replication.java
+++ b/core/src/main/java/martenloom/core/chain/Replication.java
@@ -7,6 +7,7 @@
 import martenloom.core.chain.ReplicationMessage.ReplicateState;
 import martenloom.core.chain.ReplicationMessage.ReplicationAck;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The way of a state down the chain: each member makes it durable before it sends it on, the tail
@@ -24,7 +25,7 @@
     private final Runnable onWriteAccepted;
 
     /** The write that is to be sent as its command alone, at its first sending. */
-    private Optional<ClusterState.Change> change = Optional.empty();
+    private Optional<StampedCommand> command = Optional.empty();
 
     /** The view in which the state that opens this one was accepted. */
     private Ballot basis = Ballot.ZERO;
@@ -48,7 +49,7 @@
 
     /** Makes the state that opens a view durable here, then sends it down the chain. */
     void openView(ClusterState state, Ballot acceptedIn, List<String> heldBy) {
-        change = Optional.empty();
+        command = Optional.empty();
         basis = acceptedIn;
         holders = heldBy;
         var ballot = member.view().ballot();
@@ -63,15 +64,17 @@
                 });
     }
 
-    /** Makes the state that a change led to durable here, then sends the change down the chain. */
-    void write(ClusterState.Change made, ClusterState next) {
+    /**
+     * Makes the state that a command led to durable here, then sends the command down the chain.
+     */
+    void write(StampedCommand made, ClusterState next) {
         var ballot = member.view().ballot();
         member.persistAccepted(
                 ballot,
                 next,
                 () -> {
                     if (member.isHead() && member.view().ballot().equals(ballot)) {
-                        change = Optional.of(made);
+                        command = Optional.of(made);
                         send();
                     }
                 });
@@ -86,16 +89,16 @@
 
     private void send() {
         sentUs = member.nowUs();
-        var edition = member.state().edition;
+        var edition = member.state().edition();
         var chain = member.view().chain();
         if (chain.size() == 1) {
             onReplicationAck(new ReplicationAck(member.view().ballot(), edition));
             return;
         }
         var view = member.view().asChainView();
-        if (change.isPresent()) {
-            member.send(chain.get(1), new AppendCommand(view, edition, change.get()));
-            change = Optional.empty();
+        if (command.isPresent()) {
+            member.send(chain.get(1), new AppendCommand(view, edition, command.get()));
+            command = Optional.empty();
             return;
         }
         sendState(view, basis, holders, 1);
@@ -107,7 +110,7 @@
         var to = view.chain().get(position);
         var state = heldBy.contains(to) ? ChainMessage.NO_STATE : member.state().bytes();
         member.send(
-                to, new ReplicateState(view, acceptedIn, heldBy, member.state().edition, state));
+                to, new ReplicateState(view, acceptedIn, heldBy, member.state().edition(), state));
     }
 
     // ---- at a follower
@@ -128,10 +131,10 @@
         if (position < 1
                 || !member.is(MemberRole.FOLLOWER)
                 || !member.holds(view.ballot())
-                || member.state().edition != append.edition() - 1) {
+                || member.state().edition() != append.edition() - 1) {
             return;
         }
-        var next = member.state().decide(append.change()).next;
+        var next = member.state().decide(append.command()).next();
         if (next.isEmpty()) {
             return;
         }
@@ -166,11 +169,11 @@
         var ballot = view.ballot();
         member.contact().heardProof(member.nowUs(), 0);
         if (member.accepted().equals(ballot)) {
-            if (member.is(MemberRole.FOLLOWER) && member.state().edition >= state.edition) {
+            if (member.is(MemberRole.FOLLOWER) && member.state().edition() >= state.edition()) {
                 forward(replicate, state);
                 return;
             }
-            if (member.state().edition > state.edition) {
+            if (member.state().edition() > state.edition()) {
                 return;
             }
         }
@@ -203,7 +206,7 @@
         }
         var acceptedIn = member.accepted();
         var isHeld =
-                member.state().edition == replicate.edition()
+                member.state().edition() == replicate.edition()
                         && (acceptedIn.equals(replicate.basis())
                                 || acceptedIn.equals(replicate.view().ballot()));
         return isHeld && !member.is(MemberRole.LEARNER)
@@ -213,12 +216,13 @@
 
     private void forward(ReplicateState replicate, ClusterState state) {
         var view = replicate.view();
-        if (!member.accepted().equals(view.ballot()) || member.state().edition != state.edition) {
+        if (!member.accepted().equals(view.ballot())
+                || member.state().edition() != state.edition()) {
             return;
         }
         var position = view.positionOf(member.address());
         if (view.isTail(position)) {
-            commitAtTail(view, state.edition);
+            commitAtTail(view, state.edition());
         } else {
             sendState(view, replicate.basis(), replicate.holders(), position + 1);
         }
@@ -238,7 +242,7 @@
                 || !ack.ballot().equals(member.view().ballot())) {
             return;
         }
-        var isNewest = ack.edition() == member.state().edition;
+        var isNewest = ack.edition() == member.state().edition();
         switch (member.role()) {
             case FOLLOWER -> {
                 member.commit(ack.ballot(), ack.edition());
--- a/core/src/main/java/martenloom/core/chain/ReplicationMessage.java
+++ b/core/src/main/java/martenloom/core/chain/ReplicationMessage.java
@@ -1,7 +1,7 @@
 package martenloom.core.chain;
 
 import java.util.List;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.StampedCommand;
 
 /** The messages that take a state down the chain, and their acknowledgement back up. */
 sealed interface ReplicationMessage extends ChainMessage {
@@ -27,7 +27,7 @@
      *
      * @param edition the edition that the command leads to
      */
-    record AppendCommand(ChainView view, long edition, ClusterState.Change change)
+    record AppendCommand(ChainView view, long edition, StampedCommand command)
             implements ReplicationMessage {}
 
     /** The sender and all behind it in the chain have accepted an edition. */
--- a/core/src/main/java/martenloom/core/chain/RequestPipeline.java
+++ b/core/src/main/java/martenloom/core/chain/RequestPipeline.java
@@ -4,7 +4,9 @@
 import java.util.Deque;
 import java.util.Optional;
 import java.util.function.Supplier;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.ScalingCommand;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The requests at the head: queued, decided in order, and completed. One write is under way at a
@@ -14,13 +16,11 @@
  */
 final class RequestPipeline {
     private static final int MAX_REQUESTS = 256;
-    private static final int STATUS_OK = 200;
-    private static final int STATUS_UNAVAILABLE = 503;
 
-    /** The request number of a change that the head itself asks for. */
+    /** The request number of a command that the head itself asks for. */
     private static final long OWN_REQUEST = -1;
 
-    private record PendingRequest(long number, ClusterState.Change change) {}
+    private record PendingRequest(long number, StampedCommand command) {}
 
     /** The write that is under way: whose it is, since when, and what its caller is told. */
     private record PendingWrite(long request, long sinceUs, String text) {}
@@ -52,13 +52,13 @@
         return queue.size() + barrier.pendingCount() >= MAX_REQUESTS;
     }
 
-    void submit(long request, ClusterState.Change change) {
-        queue.add(new PendingRequest(request, change));
+    void submit(long request, StampedCommand command) {
+        queue.add(new PendingRequest(request, command));
     }
 
-    /** A change that the head itself asks for, before all others. */
-    void submitFirst(ClusterState.Change change) {
-        queue.addFirst(new PendingRequest(OWN_REQUEST, change));
+    /** A command that the head itself asks for, before all others. */
+    void submitFirst(StampedCommand command) {
+        queue.addFirst(new PendingRequest(OWN_REQUEST, command));
     }
 
     /** Whether the next request can be decided: this is the head, and no write is under way. */
@@ -74,16 +74,17 @@
     }
 
     private void decide(PendingRequest request, long nextHeartbeat) {
-        var placement = request.change.act.ofPlacement() ? placementSurvey.get() : "";
+        var placement =
+                request.command.command() instanceof ScalingCommand ? placementSurvey.get() : "";
         var timeUs = jobClock.timeUs(member.state(), member.nowUs());
-        var change = request.change.stamped(timeUs).surveyed(placement);
-        var outcome = member.state().decide(change);
-        if (outcome.next.isEmpty()) {
+        var command = request.command.stampedAt(timeUs).surveyed(placement);
+        var outcome = member.state().decide(command);
+        if (outcome.next().isEmpty()) {
             barrier.await(request.number, outcome, nextHeartbeat);
             return;
         }
-        write = Optional.of(new PendingWrite(request.number, member.nowUs(), outcome.text));
-        replication.write(change, outcome.next.get());
+        write = Optional.of(new PendingWrite(request.number, member.nowUs(), outcome.text()));
+        replication.write(command, outcome.next().get());
     }
 
     /** Sends the write under way again when it is time; says whether it has taken too long. */
@@ -101,20 +102,20 @@
         if (write.isEmpty()) {
             return false;
         }
-        member.complete(write.get().request, STATUS_OK, write.get().text);
+        member.complete(write.get().request, ResultCode.OK, write.get().text);
         write = Optional.empty();
         return true;
     }
 
     void reject(long request, String reason) {
-        member.complete(request, STATUS_UNAVAILABLE, reason);
+        member.complete(request, ResultCode.UNAVAILABLE, reason);
     }
 
     /** Rejects the write under way, what waits for a heartbeat, and the queue. */
     void rejectAll(String reason) {
         write.ifPresent(pending -> reject(pending.request, reason));
         write = Optional.empty();
-        barrier.rejectAll(STATUS_UNAVAILABLE, reason);
+        barrier.rejectAll(ResultCode.UNAVAILABLE, reason);
         queue.forEach(request -> reject(request.number, reason));
         queue.clear();
     }
--- a/core/src/main/java/martenloom/core/chain/ViewAnnouncements.java
+++ b/core/src/main/java/martenloom/core/chain/ViewAnnouncements.java
@@ -48,7 +48,7 @@
         sentUs = member.nowUs();
         var view = member.view();
         var outside = new TreeSet<>(known);
-        outside.addAll(member.state().roster);
+        outside.addAll(member.state().roster().members());
         outside.removeAll(view.chain());
         var announcement =
                 new ViewAnnouncement(
--- a/core/src/main/java/martenloom/core/chain/ViewElection.java
+++ b/core/src/main/java/martenloom/core/chain/ViewElection.java
@@ -59,7 +59,7 @@
         if (member.disk().isFree()
                 && now >= notBeforeUs
                 && member.contact().silenceUs(now) > timeoutUs
-                && member.state().roster.contains(member.address())) {
+                && member.state().roster().members().contains(member.address())) {
             stoodBefore = true;
             start();
         }
@@ -67,7 +67,7 @@
 
     private long staggerUs() {
         var chain = member.view().chain();
-        var members = chain.isEmpty() ? member.state().roster : chain;
+        var members = chain.isEmpty() ? member.state().roster().members() : chain;
         var position = members.indexOf(member.address());
         return (position < 0 ? members.size() : position) * STAGGER_US;
     }
@@ -101,7 +101,7 @@
                 () -> {
                     if (isCurrent(ballot)) {
                         candidacy.voteForSelf(member.accepted(), member.state());
-                        ask(member.state().roster);
+                        ask(member.state().roster().members());
                         tryForm();
                     }
                 });
@@ -118,7 +118,7 @@
                     new Prepare(
                             candidacy.ballot(),
                             member.accepted(),
-                            member.state().edition,
+                            member.state().edition(),
                             candidacy.handedOver()));
         }
     }
@@ -197,7 +197,7 @@
             return;
         }
         var newest = candidacy.newest();
-        var roster = newest.state().get().roster;
+        var roster = newest.state().get().roster().members();
         ask(roster);
         if (!roster.contains(member.address())) {
             backOffOutsideRoster();
@@ -217,7 +217,7 @@
 
     private void form(Candidacy.Vote newest) {
         var state = newest.state().get();
-        var chain = candidacy.chain(state.roster, member.proximity());
+        var chain = candidacy.chain(state.roster().members(), member.proximity());
         member.view().form(candidacy.ballot(), chain, candidacy.learnersOf(chain), member.nowUs());
         member.become(MemberRole.ACTIVATING_VIEW);
         membership.onViewFormed(candidacy.leaving());
--- a/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageTest.java
@@ -11,6 +11,8 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -20,8 +22,7 @@
     private static final Ballot FIRST = new Ballot(3, "a");
     private static final Ballot SECOND = new Ballot(4, "b");
     private static final ChainView VIEW = new ChainView(SECOND, List.of("b", "c"), Map.of("c", 9L));
-    private static final ClusterState.Change CHANGE =
-            new ClusterState.Change(ClusterState.Act.ROSTER, 7, "d", "x");
+    private static final StampedCommand CHANGE = StampedCommand.of(new GrantLease("d", 7, "x"));
 
     @Test
     void eachMessageIsReadAsItWasWritten() {
@@ -74,7 +75,7 @@
         var view = new ChainView(SECOND, List.of("b", "c"), Map.of());
         var pass =
                 new ReplicationMessage.ReplicateState(
-                        view, FIRST, List.of("c"), state.edition, new byte[0]);
+                        view, FIRST, List.of("c"), state.edition(), new byte[0]);
         member.onMessage(10, "b", ChainMessageCodec.encode(pass));
         return member.drainEffects().stream()
                 .filter(c -> c instanceof ChainEffect.PersistState)
--- a/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -17,6 +17,8 @@
 import martenloom.core.chain.ChainMember;
 import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /** Leases at the head of a chain of one member, whose disk finishes a write when it is told to. */
@@ -25,7 +27,7 @@
     private static final long STEP_US = 50_000;
 
     private final List<String> granted = new ArrayList<>();
-    private final Map<Long, BiConsumer<Integer, String>> asked = new HashMap<>();
+    private final Map<Long, BiConsumer<ResultCode, String>> asked = new HashMap<>();
     private final Deque<ChainEffect.PersistState> stores = new ArrayDeque<>();
     private final ChainMember chain;
     private final RoleLeaseService duties;
@@ -41,7 +43,7 @@
         duties = new RoleLeaseService(chain, this::ask, () -> nowUs);
     }
 
-    private void ask(ClusterState.Change change, BiConsumer<Integer, String> reply) {
+    private void ask(StampedCommand change, BiConsumer<ResultCode, String> reply) {
         asked.put(++requests, reply);
         chain.submit(nowUs, requests, change);
     }
@@ -69,7 +71,7 @@
             stores.add(store);
         } else if (command instanceof ChainEffect.CompleteRequest answer) {
             Optional.ofNullable(asked.remove(answer.request()))
-                    .ifPresent(r -> r.accept(answer.status(), answer.text()));
+                    .ifPresent(r -> r.accept(answer.code(), answer.text()));
         }
     }
 
