--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/Process.java
@@ -73,7 +73,7 @@
                     Optional.of(
                             new PersistentMemberState(
                                     Ballot.ZERO, Ballot.ZERO, ClusterState.founded(seeds)));
-            disk.keep(kept.get().encode());
+            disk.write(kept.get().encode());
         }
         chain =
                 new ChainMember(
@@ -331,7 +331,7 @@
         }
         var store = stores.peek();
         try {
-            disk.keep(store.memberState().encode());
+            disk.write(store.memberState().encode());
         } catch (MartenloomException refused) {
             environment.agenda().after(DISK_RETRY_US, this::finishStore);
             return;
@@ -351,7 +351,7 @@
         }
         machine.disk().endAfter(random.below(MOST_DISK_STEPS));
         try {
-            disk.keep(stores.peek().memberState().encode());
+            disk.write(stores.peek().memberState().encode());
         } catch (SimulatedDisk.Ended | MartenloomException unfinished) {
             // This is what was to be brought about: the write stays as it is.
         }
