--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -93,7 +93,7 @@
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
     public void forgetGone(long now) {
-        var needed = new TreeSet<>(chain.memberState().state.roster().members());
+        var needed = new TreeSet<>(chain.memberState().state().roster().members());
         needed.addAll(chain.committed().roster().members());
         needed.addAll(seedIps(settings));
         for (var ip : List.copyOf(dials.keySet())) {
--- a/core/src/test/java/martenloom/core/chain/MembershipTest.java
+++ b/core/src/test/java/martenloom/core/chain/MembershipTest.java
@@ -38,7 +38,7 @@
 
     private static ChainWorld.Node follower(ChainWorld w) {
         return w.nodes.values().stream()
-                .filter(n -> n.core.isPresent() && !n.core.get().heading() && !n.leaving())
+                .filter(n -> n.core.isPresent() && !n.core.get().isHead() && !n.leaving())
                 .findFirst()
                 .orElseThrow();
     }
@@ -224,7 +224,7 @@
             var rosters =
                     nodes.stream()
                             .flatMap(n -> n.core.stream())
-                            .map(c -> Set.copyOf(c.memberState().state.roster().members()));
+                            .map(c -> Set.copyOf(c.memberState().state().roster().members()));
             assertTrue(mayShrink || rosters.allMatch(roster::equals), world.toString());
         }
         assertTrue(world.whole(), world.toString());
@@ -352,7 +352,7 @@
         for (var i = 0; i < 4000; i++) {
             w.step();
             assertTrue(
-                    old.stream().noneMatch(n -> n.core.isPresent() && n.core.get().heading()),
+                    old.stream().noneMatch(n -> n.core.isPresent() && n.core.get().isHead()),
                     w.toString());
         }
         w.cut.clear();
@@ -382,7 +382,7 @@
                             !counts
                                     || n.core.get()
                                             .memberState()
-                                            .state
+                                            .state()
                                             .roster()
                                             .members()
                                             .contains(n.ip),
