--- a/core/src/main/java/martenloom/core/state/CommandResult.java
+++ b/core/src/main/java/martenloom/core/state/CommandResult.java
@@ -26,6 +26,11 @@
         return new CommandResult<>(code, reason, Optional.empty());
     }
 
+    /** The command contradicts the state, or its sender is fenced off. */
+    static <S> CommandResult<S> conflict(String reason) {
+        return refused(ResultCode.CONFLICT, reason);
+    }
+
     /** An order was overtaken by another one of the same subject. */
     static <S> CommandResult<S> stale(String subject) {
         return refused(
--- a/core/src/main/java/martenloom/core/state/JobClientRules.java
+++ b/core/src/main/java/martenloom/core/state/JobClientRules.java
@@ -26,7 +26,7 @@
         if (known.isPresent()) {
             return known.get().digest.equals(job.digest)
                     ? CommandResult.unchanged(known.get().json(table.clockAt(atUs)))
-                    : conflict("job '" + job.id + "' is known with other content");
+                    : CommandResult.conflict("job '" + job.id + "' is known with other content");
         }
         var bytes = job.bytes();
         if (bytes > JobTable.MAX_JOB_BYTES) {
@@ -72,7 +72,8 @@
 
     private CommandResult<JobTable> result(Job job) {
         if (job.state != Job.State.DONE) {
-            return conflict(standing(job) + (job.why.isEmpty() ? "" : ": " + job.why));
+            return CommandResult.conflict(
+                    JobReports.standing(job) + (job.why.isEmpty() ? "" : ": " + job.why));
         }
         return job.confirmed
                 ? CommandResult.refused(
@@ -83,7 +84,7 @@
 
     private CommandResult<JobTable> confirm(Job job) {
         if (job.state != Job.State.DONE) {
-            return conflict(standing(job));
+            return CommandResult.conflict(JobReports.standing(job));
         }
         if (job.confirmed) {
             return CommandResult.unchanged("");
@@ -102,16 +103,9 @@
         }
         var live = job.state.live();
         if (!live || job.state == Job.State.RUNNING && !job.repeatable) {
-            return conflict(standing(job) + (live ? " and may not be taken back" : ""));
+            return CommandResult.conflict(
+                    JobReports.standing(job) + (live ? " and may not be taken back" : ""));
         }
         return table.with(table.ended(job, Job.State.CANCELLED, "cancelled", atUs), atUs, "");
     }
-
-    private static String standing(Job job) {
-        return "job '" + job.id + "' is " + job.state.word();
-    }
-
-    private static CommandResult<JobTable> conflict(String reason) {
-        return CommandResult.refused(ResultCode.CONFLICT, reason);
-    }
 }
--- a/core/src/main/java/martenloom/core/state/JobReports.java
+++ b/core/src/main/java/martenloom/core/state/JobReports.java
@@ -1,11 +1,19 @@
 package martenloom.core.state;
 
-/** The jobs of a table as text: in JSON for the control API, in lines for the shell. */
+import martenloom.common.jobs.Job;
+
+/** The jobs of a table as text: in JSON for the control API and in lines for the shell. */
 final class JobReports {
     private static final long MS_US = 1_000;
 
     private JobReports() {}
 
+    /** Where a job stands, as the beginning of a reason. */
+    static String standing(Job job) {
+        return "job '" + job.id + "' is " + job.state.word();
+    }
+
+    /** All jobs with their ages at a stamp, as the control API lists them. */
     static String json(JobTable table, long atUs) {
         var nowUs = table.clockAt(atUs);
         var text = new StringBuilder("{\"Jobs\":[");
@@ -17,6 +25,7 @@
         return text.append("]}").toString();
     }
 
+    /** All jobs with their ages at a stamp, one a line. */
     static String text(JobTable table, long atUs) {
         var nowUs = table.clockAt(atUs);
         var text = new StringBuilder();
--- a/core/src/main/java/martenloom/core/state/JobRunnerRules.java
+++ b/core/src/main/java/martenloom/core/state/JobRunnerRules.java
@@ -39,7 +39,8 @@
     /** Carries out a report about a job that is known. */
     CommandResult<JobTable> decide(JobRunnerCommand report, Job job, LeaseTable leases) {
         if (!leases.isInForce(job.duty(), report.fencingToken())) {
-            return conflict("fence " + report.fencingToken() + " is not the grant in force");
+            return CommandResult.conflict(
+                    "fence " + report.fencingToken() + " is not the grant in force");
         }
         if (report instanceof StartJob start) {
             return start(start, job);
@@ -47,7 +48,8 @@
         if (job.state != Job.State.RUNNING
                 || job.fence != report.fencingToken()
                 || job.runs != report.run()) {
-            return conflict(standing(job) + " under fence " + job.fence + ", run " + job.runs);
+            return CommandResult.conflict(
+                    JobReports.standing(job) + " under fence " + job.fence + ", run " + job.runs);
         }
         if (report instanceof AppendJobOutput append) {
             return append(append.output(), job);
@@ -63,7 +65,7 @@
      */
     private CommandResult<JobTable> start(StartJob start, Job job) {
         if (job.runs != start.run()) {
-            return conflict(
+            return CommandResult.conflict(
                     "job '" + job.id + "' has had " + job.runs + " runs, not " + start.run());
         }
         if (job.state == Job.State.RUNNING && job.fence < start.fencingToken()) {
@@ -72,7 +74,7 @@
                 return end(job, Job.State.UNCERTAIN, reason);
             }
         } else if (job.state != Job.State.WAITING) {
-            return conflict(standing(job));
+            return CommandResult.conflict(JobReports.standing(job));
         }
         var running = job.copy();
         running.state = Job.State.RUNNING;
@@ -94,7 +96,7 @@
             return CommandResult.unchanged("");
         }
         if (output.offset() != saved) {
-            return conflict(savedBytes(job) + ", not " + output.offset());
+            return CommandResult.conflict(savedBytes(job) + ", not " + output.offset());
         }
         var longer = job.copy();
         longer.lastEvent = output.lastEventId();
@@ -104,7 +106,7 @@
 
     private CommandResult<JobTable> finish(JobCompletion completion, Job job) {
         if (completion.offset() != job.kept.length) {
-            return conflict(savedBytes(job));
+            return CommandResult.conflict(savedBytes(job));
         }
         var done = table.ended(job, Job.State.DONE, "", atUs);
         done.status = completion.status();
@@ -139,15 +141,7 @@
         return table.with(table.ended(job, state, reason, atUs), atUs, "");
     }
 
-    private static String standing(Job job) {
-        return "job '" + job.id + "' is " + job.state.word();
-    }
-
     private static String savedBytes(Job job) {
         return "job '" + job.id + "' has " + job.kept.length + " bytes kept";
     }
-
-    private static CommandResult<JobTable> conflict(String reason) {
-        return CommandResult.refused(ResultCode.CONFLICT, reason);
-    }
 }
--- a/core/src/main/java/martenloom/core/state/JobTable.java
+++ b/core/src/main/java/martenloom/core/state/JobTable.java
@@ -28,17 +28,23 @@
  * @param byId the jobs in the order of their ids
  */
 public record JobTable(long clockUs, Map<String, Job> byId) {
-    public static final int MAX_JOBS = 200;
-    public static final int MAX_JOB_BYTES = 256 << 10;
-    public static final int MAX_TABLE_BYTES = 4 << 20;
+    /** The most jobs that are kept, in any state. */
+    static final int MAX_JOBS = 200;
+
+    /** The largest job that is taken. */
+    static final int MAX_JOB_BYTES = 256 << 10;
+
+    /** The most bytes of all jobs together when one is submitted. */
+    static final int MAX_TABLE_BYTES = 4 << 20;
 
     /** So long after its end a job is kept. */
-    public static final long RETENTION_US = 3_600_000_000L;
+    static final long RETENTION_US = 3_600_000_000L;
 
     /** So long after its due time a run may still bring a result. */
-    public static final long OVERTIME_US = 10_000_000;
+    private static final long OVERTIME_US = 10_000_000;
 
-    public static final JobTable EMPTY = new JobTable(0, Map.of());
+    /** No jobs, at the beginning of their clock. */
+    static final JobTable EMPTY = new JobTable(0, Map.of());
 
     void write(RecordWriter out) {
         out.i64(clockUs).list(byId.values(), (writer, job) -> job.write(writer));
--- a/core/src/main/java/martenloom/core/state/LeaseTable.java
+++ b/core/src/main/java/martenloom/core/state/LeaseTable.java
@@ -61,8 +61,7 @@
             return CommandResult.unchanged(String.valueOf(token));
         }
         if (newest.fencingToken() != grant.predecessorToken()) {
-            return CommandResult.refused(
-                    ResultCode.CONFLICT,
+            return CommandResult.conflict(
                     "fence: grant "
                             + grant.predecessorToken()
                             + " of "
--- a/core/src/main/java/martenloom/core/state/ScalingState.java
+++ b/core/src/main/java/martenloom/core/state/ScalingState.java
@@ -52,8 +52,7 @@
         var regionEnd = deployment.indexOf('/');
         var role = SCALER_ROLE + deployment.substring(0, Math.max(0, regionEnd));
         if (regionEnd < 1 || !leases.isInForce(role, order.fencingToken())) {
-            return CommandResult.refused(
-                    ResultCode.CONFLICT,
+            return CommandResult.conflict(
                     "fence: grant "
                             + order.fencingToken()
                             + " of scale/"
@@ -67,8 +66,7 @@
         }
         var number = orderNumber(order);
         if (number < scalerOrders.of(deployment)) {
-            return CommandResult.refused(
-                    ResultCode.CONFLICT,
+            return CommandResult.conflict(
                     "fence: order "
                             + order.sequence()
                             + " of "
@@ -76,8 +74,7 @@
                             + " was overtaken by a later one");
         }
         if (isPinned(deployment)) {
-            return CommandResult.refused(
-                    ResultCode.CONFLICT, "pinned: " + deployment + " is unloaded by the operator");
+            return CommandResult.conflict("pinned: " + deployment + " is unloaded by the operator");
         }
         var noted =
                 new ScalingState(targets, placementVersions, scalerOrders.with(deployment, number));
@@ -135,8 +132,7 @@
         var findings = newlyExposed(next, Placement.of(evidence.survey()), table);
         return findings.isEmpty()
                 ? CommandResult.changed(next, "")
-                : CommandResult.refused(
-                        ResultCode.CONFLICT,
+                : CommandResult.conflict(
                         String.join("; ", findings.stream().map(Placement.Finding::text).toList()));
     }
 
