--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -30,7 +30,7 @@
 import martenloom.common.link.LinkTraffic;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -458,7 +458,7 @@
         for (var i = 0; i < z.cores; i++) {
             var p = settings(core(i), i, true);
             var l = loop("core-" + net + "-" + i, coreThreads);
-            on(l, () -> new CoreDaemon(p, l, new VersionedStore.RealFolder(p.dataDir)).start());
+            on(l, () -> new CoreDaemon(p, l, new FileSystemFolder(p.dataDir)).start());
         }
         var parts = Math.min(16, z.replicas);
         for (var i = 0; i < parts; i++) {
@@ -628,10 +628,7 @@
         }
         s.readyEdges = (int) edges.stream().filter(e -> e.whenReady().getNow(false)).count();
         s.replicasKnown =
-                edges.stream()
-                        .mapToLong(e -> e.dispatcher().replicaTable.all().size())
-                        .min()
-                        .orElse(0);
+                edges.stream().mapToLong(e -> e.replicaTable().all().size()).min().orElse(0);
         s.edgesHeard = edges.stream().mapToInt(EdgeDaemon::edgesHeard).min().orElse(0);
         System.gc();
         s.heapMb = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() / 1e6;
