--- a/core/src/test/java/martenloom/core/chain/CatchUpTest.java
+++ b/core/src/test/java/martenloom/core/chain/CatchUpTest.java
@@ -1,6 +1,6 @@
 package martenloom.core.chain;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
+import static martenloom.core.chain.ChainSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.stream.Collectors;
@@ -9,101 +9,89 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A member that was away while many changes were made, and a new one, are level in time, and with
- * one state's bytes.
+ * A member that was away while many changes were made, and a new one, catch up in time, and with
+ * the bytes of one state.
  */
 final class CatchUpTest {
-    private static final long CATCH_UP_US = 4_000_000;
+    private static final long CATCH_UP_US = 4 * SECOND_US;
     private static final int ROUTES = 2000;
 
-    private static String route(int i) {
+    private static String route(int number) {
         return "{\"Name\":\"r"
-                + i
+                + number
                 + "\",\"Hostname\":\"cluster.example\",\"PathPrefix\":\"/"
-                + i
+                + number
                 + "/\",\"RouteType\":\"idempotent\",\"TimeoutMs\":8000,\"TargetLatencyMs\":2000,"
-                + "\"Priority\":0,\"Backend\":\"plain\",\"MaxAttempts\":2,\"SessionAffinity\":false,\"Resumable\":false,\"TargetGapMs\":800,\"AllowedRegions\":[]}";
+                + "\"Priority\":0,\"Backend\":\"plain\",\"MaxAttempts\":2,"
+                + "\"SessionAffinity\":false,\"Resumable\":false,\"TargetGapMs\":800,"
+                + "\"AllowedRegions\":[]}";
     }
 
-    private static long change(ChainWorld w, String routes) {
-        var before = w.acked.size();
-        w.ask(routes);
-        return w.until("acknowledged", 5_000_000, () -> w.acked.size() > before);
+    private static void change(ChainSimulation simulation, String routes) {
+        var before = simulation.acknowledgedCount();
+        simulation.submitChange(routes);
+        simulation.runUntil(
+                "acknowledged", 5 * SECOND_US, () -> simulation.acknowledgedCount() > before);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {10, 300, 3000})
-    void aMemberIsLevelInTimeAfterAnyNumberOfChanges(int changes) {
-        var w = new ChainWorld(changes, 3, 3);
-        w.slow = false;
-        w.until("one head", 5_000_000, w::whole);
+    void aMemberCatchesUpInTimeAfterAnyNumberOfChanges(int changes) {
+        var simulation = new ChainSimulation(changes, 3, 3);
+        simulation.useFastDisks();
+        simulation.runUntil("one head", 5 * SECOND_US, simulation::isComplete);
         var away =
-                w.nodes.values().stream()
-                        .filter(n -> !n.core.get().isHead())
+                simulation.members().stream()
+                        .filter(member -> !member.isHead())
                         .findFirst()
                         .orElseThrow();
-        w.crash(away, false);
-        away.upAt = ChainWorld.NEVER;
-        w.untilAcknowledged(5_000_000);
-        w.run(2_000_000);
+        simulation.crash(away);
+        away.stayDown();
+        simulation.runUntilAcknowledged(5 * SECOND_US);
+        simulation.run(2 * SECOND_US);
         for (var i = 2; i < changes; i++) {
-            change(w, "");
+            change(simulation, "");
         }
         change(
-                w,
+                simulation,
                 IntStream.range(0, ROUTES)
                         .mapToObj(CatchUpTest::route)
                         .collect(Collectors.joining(",")));
-        var state = w.head().committed();
-        assertEquals(
-                ROUTES,
-                state.configuration().routingText().lines().filter(l -> l.contains("/")).count()
-                                >= ROUTES
-                        ? ROUTES
-                        : 0,
-                "all routes are in it");
-        var size = state.bytes().length;
-        away.upAt = w.now;
-        level(w, away, "restarted", changes, size);
-        level(w, w.addMachine(), "new", changes, size);
+        var state = simulation.head().committed();
+        var routes =
+                state.configuration()
+                        .routingText()
+                        .lines()
+                        .filter(line -> line.contains("/"))
+                        .count();
+        assertTrue(routes >= ROUTES, "all routes are in it: " + routes);
+        var stateBytes = state.bytes().length;
+        away.restartAt(simulation.nowUs());
+        assertCatchesUp(simulation, away, stateBytes, "restarted member after " + changes);
+        var newcomer = simulation.addMachine();
+        assertCatchesUp(simulation, newcomer, stateBytes, "new member after " + changes);
     }
 
-    private static void level(ChainWorld w, ChainWorld.Node n, String kind, int changes, int size) {
-        var before = w.receivedBytes.getOrDefault(n.ip, 0L);
-        var others =
-                w.nodes.values().stream()
-                        .filter(x -> x != n)
-                        .mapToLong(x -> w.receivedBytes.getOrDefault(x.ip, 0L))
-                        .sum();
-        var took =
-                w.until(
-                        "level",
+    private static void assertCatchesUp(
+            ChainSimulation simulation, SimulatedMember behind, int stateBytes, String what) {
+        var others = simulation.members().stream().filter(member -> member != behind).toList();
+        var before = simulation.receivedBytes(behind.address());
+        var othersBefore = simulation.receivedBytes(others);
+        var tookUs =
+                simulation.runUntil(
+                        "caught up",
                         CATCH_UP_US,
                         () ->
-                                w.whole()
-                                        && n.core.get().committed().edition()
-                                                == w.head().committed().edition());
-        var bytes = w.receivedBytes.get(n.ip) - before;
-        var elsewhere =
-                w.nodes.values().stream()
-                                .filter(x -> x != n)
-                                .mapToLong(x -> w.receivedBytes.get(x.ip))
-                                .sum()
-                        - others;
-        System.out.println(
-                "catch-up of a "
-                        + kind
-                        + " member after "
-                        + changes
-                        + " changes: "
-                        + took / 1000
-                        + " ms, "
-                        + bytes
-                        + " bytes of a state of "
-                        + size
-                        + ", the others "
-                        + elsewhere);
-        assertTrue(bytes < 3L * size, bytes + " bytes for a state of " + size);
-        assertTrue(elsewhere < size, "who holds the state is given only its name: " + elsewhere);
+                                simulation.isComplete()
+                                        && behind.chain().committed().edition()
+                                                == simulation.head().committed().edition());
+        var bytes = simulation.receivedBytes(behind.address()) - before;
+        var elsewhere = simulation.receivedBytes(others) - othersBefore;
+        System.out.printf(
+                "catch-up of a %s changes: %d ms, %d bytes of a state of %d, the others %d%n",
+                what, tookUs / 1000, bytes, stateBytes, elsewhere);
+        assertTrue(bytes < 3L * stateBytes, bytes + " bytes for a state of " + stateBytes);
+        assertTrue(
+                elsewhere < stateBytes, "who holds the state is given only its name: " + elsewhere);
     }
 }
--- a/core/src/test/java/martenloom/core/chain/MembershipTest.java
+++ b/core/src/test/java/martenloom/core/chain/MembershipTest.java
@@ -1,12 +1,10 @@
 package martenloom.core.chain;
 
+import static martenloom.core.chain.ChainSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.Collection;
-import java.util.Collections;
 import java.util.List;
-import java.util.Optional;
 import java.util.Set;
 import martenloom.core.state.ClusterState;
 import martenloom.core.state.Command.AddMember;
@@ -22,61 +20,71 @@
 /**
  * Who belongs to the roster, step by step, for cores of 3, 5 and 9 machines: leaving in order,
  * replacing one that is dead, a successor that counts only once it holds the state, and cut-off
- * members that are never struck.
+ * members that are never removed.
  */
 final class MembershipTest {
-    private static final long CATCH_UP_US = 4_000_000;
+    private static final long CATCH_UP_US = 4 * SECOND_US;
 
     /** A calm core that has grown to all its machines. */
-    private static ChainWorld core(int members) {
-        var w = new ChainWorld(members, members, 3);
-        w.slow = false;
-        w.until("grown", 40_000_000, w::whole);
-        w.run(2_000_000);
-        return w;
+    private static ChainSimulation core(int members) {
+        var simulation = new ChainSimulation(members, members, 3);
+        simulation.useFastDisks();
+        simulation.runUntil("grown", 40 * SECOND_US, simulation::isComplete);
+        simulation.run(2 * SECOND_US);
+        return simulation;
     }
 
-    private static ChainWorld.Node follower(ChainWorld w) {
-        return w.nodes.values().stream()
-                .filter(n -> n.core.isPresent() && !n.core.get().isHead() && !n.leaving())
+    private static SimulatedMember follower(ChainSimulation simulation) {
+        return simulation.members().stream()
+                .filter(member -> member.isUp() && !member.isHead() && !member.isLeaving())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void leaveAndWait(ChainWorld w, ChainWorld.Node n, boolean forGood) {
-        w.leave(n, forGood);
-        w.until(n.ip + " has left", 6_000_000, () -> n.core.isEmpty());
-        assertEquals(0, w.leftAtGraceEnd, "in order");
+    private static List<String> committedRoster(SimulatedMember member) {
+        return member.chain().committed().roster().members();
+    }
+
+    /** The roster that a member has accepted, committed or not. */
+    private static Set<String> rosterAt(SimulatedMember member) {
+        return Set.copyOf(member.chain().memberState().state().roster().members());
+    }
+
+    private static void leaveAndWait(
+            ChainSimulation simulation, SimulatedMember member, boolean forGood) {
+        simulation.shutDown(member, forGood);
+        simulation.runUntil(member.address() + " has left", 6 * SECOND_US, () -> !member.isUp());
+        assertEquals(0, simulation.terminatedAtGraceEnd(), "in order");
     }
 
     /**
      * As many machines as may be lost at once when all are up can be lost again, right after the
      * repair: writes go on.
      */
-    private static void bearsTheNextLoss(ChainWorld w) {
-        var head = w.heads().get(0);
-        w.crash(head, false);
-        head.upAt = ChainWorld.NEVER;
-        w.untilAcknowledged(5_000_000);
+    private static void bearsTheNextLoss(ChainSimulation simulation) {
+        var head = simulation.heads().get(0);
+        simulation.crash(head);
+        head.stayDown();
+        simulation.runUntilAcknowledged(5 * SECOND_US);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 1", "5, 2", "9, 4"})
     void theDeadAreReplacedAtOnceAndTheNextLossIsBorne(int members, int dead) {
-        var w = core(members);
+        var simulation = core(members);
         for (var i = 0; i < dead; i++) {
-            w.remove(follower(w));
+            simulation.destroy(follower(simulation));
         }
-        w.run(3_000_000);
-        assertEquals(
-                members,
-                w.head().committed().roster().members().size(),
-                "nobody is struck who was not replaced");
+        simulation.run(3 * SECOND_US);
+        assertEquals(members, simulation.roster().size(), "nobody is removed who was not replaced");
         for (var i = 0; i < dead; i++) {
-            w.addMachine();
+            simulation.addMachine();
         }
-        w.until("the successors count and the dead do not", 2 * CATCH_UP_US, w::whole);
-        bearsTheNextLoss(w);
+        simulation.runUntil(
+                "the successors count and the dead do not",
+                2 * CATCH_UP_US,
+                simulation::isComplete);
+        bearsTheNextLoss(simulation);
     }
 
     /**
@@ -86,23 +94,23 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 5, 9})
     void threeReplacementsAndALostDiskLeaveAMajority(int members) {
-        var w = core(members);
-        leaveAndWait(w, follower(w), true);
-        w.run(6_000_000);
-        assertTrue(w.whole(), w.toString());
-        w.remove(w.nodes.values().iterator().next());
-        w.addMachine();
-        w.run(6_000_000);
-        assertTrue(w.whole(), w.toString());
-        leaveAndWait(w, w.heads().get(0), true);
-        w.run(6_000_000);
-        assertTrue(w.whole(), w.toString());
-        w.untilAcknowledged(2_000_000);
-        var newest = Collections.max(w.acked.keySet());
-        w.crash(follower(w), true);
-        w.untilAcknowledged(5_000_000);
-        assertTrue(w.head().committed().configuration().revision() > newest);
-        w.until("the wiped one is back", 2 * CATCH_UP_US, w::whole);
+        var simulation = core(members);
+        leaveAndWait(simulation, follower(simulation), true);
+        simulation.run(6 * SECOND_US);
+        assertTrue(simulation.isComplete(), simulation.toString());
+        simulation.destroy(simulation.members().iterator().next());
+        simulation.addMachine();
+        simulation.run(6 * SECOND_US);
+        assertTrue(simulation.isComplete(), simulation.toString());
+        leaveAndWait(simulation, simulation.heads().get(0), true);
+        simulation.run(6 * SECOND_US);
+        assertTrue(simulation.isComplete(), simulation.toString());
+        simulation.runUntilAcknowledged(2 * SECOND_US);
+        var newest = simulation.newestAcknowledgedRevision();
+        simulation.crashAndWipe(follower(simulation));
+        simulation.runUntilAcknowledged(5 * SECOND_US);
+        assertTrue(simulation.head().committed().configuration().revision() > newest);
+        simulation.runUntil("the wiped one is back", 2 * CATCH_UP_US, simulation::isComplete);
     }
 
     /**
@@ -112,18 +120,21 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 5, 9})
     void aRestartOfAllInTurnLosesNothingAndEachIsBackInTime(int members) {
-        var w = members == 1 ? new ChainWorld(1, 1, 1) : core(members);
-        w.slow = false;
-        w.until("one head", 5_000_000, w::whole);
+        var simulation = members == 1 ? new ChainSimulation(1, 1, 1) : core(members);
+        simulation.useFastDisks();
+        simulation.runUntil("one head", 5 * SECOND_US, simulation::isComplete);
         var longest = 0L;
-        for (var n : List.copyOf(w.nodes.values())) {
-            leaveAndWait(w, n, false);
+        for (var member : simulation.members()) {
+            leaveAndWait(simulation, member, false);
             if (members > 1) {
-                w.untilAcknowledged(CATCH_UP_US);
+                simulation.runUntilAcknowledged(CATCH_UP_US);
             }
-            w.until("started", 3_000_000, () -> n.core.isPresent());
-            longest = Math.max(longest, w.until("back", CATCH_UP_US, w::whole));
-            w.untilAcknowledged(CATCH_UP_US);
+            simulation.runUntil("started", 3 * SECOND_US, () -> member.isUp());
+            longest =
+                    Math.max(
+                            longest,
+                            simulation.runUntil("back", CATCH_UP_US, simulation::isComplete));
+            simulation.runUntilAcknowledged(CATCH_UP_US);
         }
         System.out.println(
                 "roll of " + members + ": back after " + longest / 1000 + " ms at the longest");
@@ -135,68 +146,70 @@
      */
     @Test
     void threeBecomeTwoAndOne() {
-        var w = core(3);
+        var simulation = core(3);
         for (var left = 3; left > 1; left--) {
-            w.untilAcknowledged(2_000_000);
-            var n = left == 3 ? w.heads().get(0) : follower(w);
-            w.leave(n, false);
-            w.until("left", 6_000_000, () -> n.core.isEmpty());
-            n.upAt = ChainWorld.NEVER;
-            assertEquals(0, w.leftAtGraceEnd);
-            w.untilAcknowledged(3_000_000);
+            simulation.runUntilAcknowledged(2 * SECOND_US);
+            var member = left == 3 ? simulation.heads().get(0) : follower(simulation);
+            simulation.shutDown(member, false);
+            simulation.runUntil("left", 6 * SECOND_US, () -> !member.isUp());
+            member.stayDown();
+            assertEquals(0, simulation.terminatedAtGraceEnd());
+            simulation.runUntilAcknowledged(3 * SECOND_US);
         }
-        var last = w.heads().get(0);
-        assertEquals(List.of(last.ip), w.head().committed().roster().members());
-        var newest = Collections.max(w.acked.keySet());
-        w.nodes.values().forEach(n -> n.upAt = w.now);
-        w.until("all are back", 2 * CATCH_UP_US, w::whole);
-        assertTrue(w.head().committed().configuration().revision() >= newest);
+        var last = simulation.heads().get(0);
+        assertEquals(List.of(last.address()), simulation.roster());
+        var newest = simulation.newestAcknowledgedRevision();
+        simulation.members().forEach(member -> member.restartAt(simulation.nowUs()));
+        simulation.runUntil("all are back", 2 * CATCH_UP_US, simulation::isComplete);
+        assertTrue(simulation.head().committed().configuration().revision() >= newest);
     }
 
     /** One is down and was not replaced: a leaver that is needed stays until the other is back. */
     @Test
-    void aLeaverThatIsNeededIsNotStruck() {
-        var world = core(3);
-        var down = follower(world);
-        world.crash(down, false);
-        down.upAt = ChainWorld.NEVER;
-        world.untilAcknowledged(5_000_000);
-        var leaver = follower(world);
-        world.leave(leaver, false);
-        world.run(4_000_000);
-        assertTrue(leaver.core.isPresent(), "it is needed");
-        assertEquals(3, world.head().committed().roster().members().size());
-        world.untilAcknowledged(2_000_000);
-        down.upAt = world.now;
-        world.until("left once the other was back", 4_000_000, () -> leaver.core.isEmpty());
-        assertEquals(0, world.leftAtGraceEnd);
+    void aLeaverThatIsNeededIsNotRemoved() {
+        var simulation = core(3);
+        var down = follower(simulation);
+        simulation.crash(down);
+        down.stayDown();
+        simulation.runUntilAcknowledged(5 * SECOND_US);
+        var leaver = follower(simulation);
+        simulation.shutDown(leaver, false);
+        simulation.run(4 * SECOND_US);
+        assertTrue(leaver.isUp(), "it is needed");
+        assertEquals(3, simulation.roster().size());
+        simulation.runUntilAcknowledged(2 * SECOND_US);
+        down.restartAt(simulation.nowUs());
+        simulation.runUntil("left once the other was back", 4 * SECOND_US, () -> !leaver.isUp());
+        assertEquals(0, simulation.terminatedAtGraceEnd());
     }
 
     /**
-     * All are told at once: nobody is struck, all end early, and any majority of the disks is
+     * All are told at once: nobody is removed, all end early, and any majority of the disks is
      * enough afterwards.
      */
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
     void allAtOnceEndWithTheWholeRoster(int members) {
-        var w = core(members);
-        w.untilAcknowledged(2_000_000);
-        var newest = Collections.max(w.acked.keySet());
-        List.copyOf(w.nodes.values()).forEach(n -> w.leave(n, false));
-        w.until(
+        var simulation = core(members);
+        simulation.runUntilAcknowledged(2 * SECOND_US);
+        var newest = simulation.newestAcknowledgedRevision();
+        simulation.members().forEach(member -> simulation.shutDown(member, false));
+        simulation.runUntil(
                 "all ended",
-                5_000_000,
-                () -> w.nodes.values().stream().allMatch(n -> n.core.isEmpty() || !n.leaving()));
-        assertEquals(0, w.leftAtGraceEnd);
-        w.nodes.values().stream()
+                5 * SECOND_US,
+                () ->
+                        simulation.members().stream()
+                                .allMatch(member -> !member.isUp() || !member.isLeaving()));
+        assertEquals(0, simulation.terminatedAtGraceEnd());
+        simulation.members().stream()
                 .limit(members / 2)
                 .forEach(
-                        n -> {
-                            assertTrue(n.core.isEmpty());
-                            n.disk = Optional.empty();
+                        member -> {
+                            assertTrue(!member.isUp());
+                            member.eraseDisk();
                         });
-        w.until("all are back", 4 * CATCH_UP_US, w::whole);
-        assertTrue(w.head().committed().configuration().revision() >= newest);
+        simulation.runUntil("all are back", 4 * CATCH_UP_US, simulation::isComplete);
+        assertTrue(simulation.head().committed().configuration().revision() >= newest);
     }
 
     /**
@@ -212,24 +225,22 @@
         "5, 600, true"
     })
     void overlappingRestartsKeepTheRoster(int members, int pauseMs, boolean mayShrink) {
-        var world = core(members);
-        var nodes = List.copyOf(world.nodes.values());
+        var simulation = core(members);
+        var nodes = simulation.members();
         for (var node : nodes) {
-            world.leave(node, false);
-            world.run(pauseMs * 1000L);
+            simulation.shutDown(node, false);
+            simulation.run(pauseMs * 1000L);
         }
-        var roster = Set.copyOf(world.nodes.keySet());
+        var roster = Set.copyOf(simulation.addresses());
         for (var i = 0; i < 3000; i++) {
-            world.step();
+            simulation.step();
             var rosters =
-                    nodes.stream()
-                            .flatMap(n -> n.core.stream())
-                            .map(c -> Set.copyOf(c.memberState().state().roster().members()));
-            assertTrue(mayShrink || rosters.allMatch(roster::equals), world.toString());
+                    nodes.stream().filter(SimulatedMember::isUp).map(MembershipTest::rosterAt);
+            assertTrue(mayShrink || rosters.allMatch(roster::equals), simulation.toString());
         }
-        assertTrue(world.whole(), world.toString());
-        assertEquals(0, world.leftAtGraceEnd);
-        world.untilAcknowledged(CATCH_UP_US);
+        assertTrue(simulation.isComplete(), simulation.toString());
+        assertEquals(0, simulation.terminatedAtGraceEnd());
+        simulation.runUntilAcknowledged(CATCH_UP_US);
     }
 
     /**
@@ -237,29 +248,29 @@
      */
     @Test
     void aWipedMemberIsTheLastOfItsChain() {
-        var world = core(5);
-        var first = world.nodes.values().iterator().next();
-        world.crash(first, true);
-        world.until("back", 2 * CATCH_UP_US, world::whole);
-        var chain = world.head().chain();
-        assertEquals(first.ip, chain.get(chain.size() - 1));
+        var simulation = core(5);
+        var first = simulation.members().iterator().next();
+        simulation.crashAndWipe(first);
+        simulation.runUntil("back", 2 * CATCH_UP_US, simulation::isComplete);
+        var chain = simulation.head().chain();
+        assertEquals(first.address(), chain.get(chain.size() - 1));
     }
 
     /** Told in a row, faster than one leave takes. */
     @ParameterizedTest
     @CsvSource({"3, 150", "3, 700", "5, 150", "5, 700", "5, 1500"})
     void twoLeaveInARow(int members, int pauseMs) {
-        var w = core(members);
-        w.untilAcknowledged(2_000_000);
-        var first = w.heads().get(0);
-        w.leave(first, true);
-        w.run(pauseMs * 1000L);
-        var second = follower(w);
-        w.leave(second, true);
-        w.until("both left", 8_000_000, () -> first.core.isEmpty() && second.core.isEmpty());
-        assertEquals(0, w.leftAtGraceEnd);
-        w.untilAcknowledged(3_000_000);
-        w.until("replaced", 3 * CATCH_UP_US, w::whole);
+        var simulation = core(members);
+        simulation.runUntilAcknowledged(2 * SECOND_US);
+        var first = simulation.heads().get(0);
+        simulation.shutDown(first, true);
+        simulation.run(pauseMs * 1000L);
+        var second = follower(simulation);
+        simulation.shutDown(second, true);
+        simulation.runUntil("both left", 8 * SECOND_US, () -> !first.isUp() && !second.isUp());
+        assertEquals(0, simulation.terminatedAtGraceEnd());
+        simulation.runUntilAcknowledged(3 * SECOND_US);
+        simulation.runUntil("replaced", 3 * CATCH_UP_US, simulation::isComplete);
     }
 
     /**
@@ -268,51 +279,43 @@
      */
     @ParameterizedTest
     @CsvSource({"3, 1", "5, 2", "9, 3", "9, 4"})
-    void whoIsCutOffAndNotReplacedIsNotStruck(int members, int cutOff) {
-        var w = core(members);
-        var away = w.nodes.keySet().stream().limit(cutOff).toList();
-        cut(w, away);
-        w.untilAcknowledged(5_000_000);
-        w.run(30_000_000);
-        assertEquals(members, w.head().committed().roster().members().size());
-        w.cut.clear();
-        w.until("all are in the chain", CATCH_UP_US, w::whole);
+    void whoIsCutOffAndNotReplacedIsNotRemoved(int members, int cutOff) {
+        var simulation = core(members);
+        var away = simulation.addresses().stream().limit(cutOff).toList();
+        simulation.network().cut(away, simulation.addresses());
+        simulation.runUntilAcknowledged(5 * SECOND_US);
+        simulation.run(30 * SECOND_US);
+        assertEquals(members, simulation.roster().size());
+        simulation.network().restoreAll();
+        simulation.runUntil("all are in the chain", CATCH_UP_US, simulation::isComplete);
     }
 
     /**
-     * A wrong guess: replaced while it was only cut off. It is outside, hears the news and joins as
-     * a newcomer.
+     * A wrong guess: replaced while it was only cut off. It is outside, hears the announcements and
+     * joins as a newcomer.
      */
     @ParameterizedTest
     @ValueSource(ints = {3, 5, 9})
-    void whoWasStruckWhileCutOffComesBackAsANewcomer(int members) {
-        var w = core(members);
-        var away = follower(w).ip;
-        cut(w, List.of(away));
-        w.untilAcknowledged(5_000_000);
-        w.addMachine();
-        w.until(
-                "struck",
+    void whoWasRemovedWhileCutOffComesBackAsANewcomer(int members) {
+        var simulation = core(members);
+        var away = follower(simulation).address();
+        simulation.network().cut(List.of(away), simulation.addresses());
+        simulation.runUntilAcknowledged(5 * SECOND_US);
+        simulation.addMachine();
+        simulation.runUntil(
+                "removed",
                 2 * CATCH_UP_US,
                 () ->
-                        w.heads().stream()
+                        simulation.heads().stream()
                                 .anyMatch(
-                                        h ->
-                                                !h.core.get()
-                                                                .committed()
-                                                                .roster()
-                                                                .members()
-                                                                .contains(away)
-                                                        && h.core.get()
-                                                                        .committed()
-                                                                        .roster()
-                                                                        .members()
-                                                                        .size()
+                                        head ->
+                                                !committedRoster(head).contains(away)
+                                                        && committedRoster(head).size()
                                                                 == members));
-        w.untilAcknowledged(2_000_000);
-        w.cut.clear();
-        w.until("back", 2 * CATCH_UP_US, w::whole);
-        assertEquals(members + 1, w.head().committed().roster().members().size());
+        simulation.runUntilAcknowledged(2 * SECOND_US);
+        simulation.network().restoreAll();
+        simulation.runUntil("back", 2 * CATCH_UP_US, simulation::isComplete);
+        assertEquals(members + 1, simulation.roster().size());
     }
 
     /**
@@ -321,71 +324,52 @@
      */
     @Test
     void anOlderRosterFormsNoChainOfItsOwn() {
-        var w = core(3);
-        var old = List.copyOf(w.nodes.values());
-        for (var n : old) {
-            w.crash(n, false);
-            n.upAt = ChainWorld.NEVER;
-            w.addMachine();
-            w.until(
+        var simulation = core(3);
+        var old = simulation.members();
+        for (var member : old) {
+            simulation.crash(member);
+            member.stayDown();
+            simulation.addMachine();
+            simulation.runUntil(
                     "replaced",
                     3 * CATCH_UP_US,
                     () ->
-                            w.heads().size() == 1
-                                    && !w.head().committed().roster().members().contains(n.ip)
-                                    && w.head().committed().roster().members().size() == 3);
-            w.untilAcknowledged(2_000_000);
+                            simulation.heads().size() == 1
+                                    && !simulation.roster().contains(member.address())
+                                    && simulation.roster().size() == 3);
+            simulation.runUntilAcknowledged(2 * SECOND_US);
         }
-        var newest = Collections.max(w.acked.keySet());
-        cut(w, old.stream().map(n -> n.ip).toList());
-        old.forEach(
-                n ->
-                        w.nodes
-                                .keySet()
-                                .forEach(
-                                        x -> {
-                                            if (old.stream().anyMatch(o -> o.ip.equals(x))) {
-                                                w.cut.remove(n.ip + ">" + x);
-                                            }
-                                        }));
-        old.forEach(n -> n.upAt = w.now);
+        var newest = simulation.newestAcknowledgedRevision();
+        simulation
+                .network()
+                .cut(old.stream().map(member -> member.address()).toList(), simulation.addresses());
+        old.forEach(member -> member.restartAt(simulation.nowUs()));
         for (var i = 0; i < 4000; i++) {
-            w.step();
-            assertTrue(
-                    old.stream().noneMatch(n -> n.core.isPresent() && n.core.get().isHead()),
-                    w.toString());
+            simulation.step();
+            assertTrue(old.stream().noneMatch(member -> member.isHead()), simulation.toString());
         }
-        w.cut.clear();
-        w.until("all together", 3 * CATCH_UP_US, w::whole);
-        assertTrue(w.head().committed().configuration().revision() >= newest);
+        simulation.network().restoreAll();
+        simulation.runUntil("all together", 3 * CATCH_UP_US, simulation::isComplete);
+        assertTrue(simulation.head().committed().configuration().revision() >= newest);
     }
 
     /** A newcomer counts only with a write that it has itself accepted. */
     @Test
     void aNewcomerHoldsTheStateBeforeItCounts() {
-        var w = core(3);
-        var n = w.addMachine();
-        w.until(
+        var simulation = core(3);
+        var newcomer = simulation.addMachine();
+        simulation.runUntil(
                 "counts",
                 CATCH_UP_US,
                 () -> {
                     var counts =
-                            w.nodes.values().stream()
+                            simulation.members().stream()
                                     .anyMatch(
-                                            x ->
-                                                    x.core.get()
-                                                            .committed()
-                                                            .roster()
-                                                            .members()
-                                                            .contains(n.ip));
+                                            member ->
+                                                    committedRoster(member)
+                                                            .contains(newcomer.address()));
                     assertTrue(
-                            !counts
-                                    || n.core.get()
-                                            .memberState()
-                                            .state()
-                                            .roster()
-                                            .members()
-                                            .contains(n.ip),
+                            !counts || rosterAt(newcomer).contains(newcomer.address()),
                             "it accepted the write that names it");
                     return counts;
                 });
@@ -395,28 +379,17 @@
     @ParameterizedTest
     @CsvSource({"5, 3000", "9, 6000"})
     void theFirstGrowthIsQuick(int members, int withinMs) {
-        var w = new ChainWorld(7, members, 3);
-        w.slow = false;
-        var took = w.until("grown", withinMs * 1000L, w::whole);
+        var simulation = new ChainSimulation(7, members, 3);
+        simulation.useFastDisks();
+        var took = simulation.runUntil("grown", withinMs * 1000L, simulation::isComplete);
         System.out.println("growth from 3 to " + members + ": " + took / 1000 + " ms");
     }
 
-    private static void cut(ChainWorld w, Collection<String> away) {
-        for (var a : away) {
-            for (var x : w.nodes.keySet()) {
-                if (!away.contains(x)) {
-                    w.cut.add(a + ">" + x);
-                    w.cut.add(x + ">" + a);
-                }
-            }
-        }
-    }
-
     @Test
     void aLeaveIsOrderedOnceAndUndoneByComingBack() {
-        var s = ClusterState.founded(List.of("a", "b", "c"));
+        var state = ClusterState.founded(List.of("a", "b", "c"));
         var left =
-                s.decide(StampedCommand.of(new MarkDeparting("b", Urgency.CAN_WAIT)))
+                state.decide(StampedCommand.of(new MarkDeparting("b", Urgency.CAN_WAIT)))
                         .next()
                         .orElseThrow();
         assertEquals(Set.of("b"), left.roster().departed());
@@ -433,8 +406,8 @@
                         .roster()
                         .departed()
                         .isEmpty());
-        var struck = left.decide(StampedCommand.of(new RemoveMember("b"))).next().orElseThrow();
-        assertEquals(List.of("a", "c"), struck.roster().members());
-        assertTrue(struck.roster().departed().isEmpty());
+        var removed = left.decide(StampedCommand.of(new RemoveMember("b"))).next().orElseThrow();
+        assertEquals(List.of("a", "c"), removed.roster().members());
+        assertTrue(removed.roster().departed().isEmpty());
     }
 }
