--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
+import martenloom.common.clock.Staleness;
 import martenloom.core.state.ClusterState;
 import martenloom.core.state.Command.MarkDeparting;
 import martenloom.core.state.Command.Urgency;
@@ -41,12 +42,6 @@
     /** A member of an odd roster that was missing for so long goes, though nobody replaced it. */
     public static final long REMOVE_ABSENT_AFTER_US = Membership.REMOVE_ABSENT_AFTER_US;
 
-    /**
-     * A member that has had no proof of a majority for longer than this neither hands out what it
-     * knows as current nor forwards requests. See docs/design.md for the derivation.
-     */
-    public static final long MAX_STALENESS_US = 1_500_000;
-
     private static final long HEARTBEAT_INTERVAL_US = 200_000;
     private static final long STALLED_HEAD_RESTS_US = 2_000_000;
 
@@ -140,9 +135,9 @@
         return nowUs - (isHead() ? barrier.provenUs() : member.contact().majorityProvenUs());
     }
 
-    /** Whether what this member knows may be handed out as current. */
+    /** Whether what this member knows may be handed out as current, and requests be forwarded. */
     public boolean isFresh(long nowUs) {
-        return stalenessUs(nowUs) <= MAX_STALENESS_US;
+        return stalenessUs(nowUs) <= Staleness.MAX_STALENESS_US;
     }
 
     /**
--- a/edge/src/main/java/martenloom/edge/home/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeConnection.java
@@ -6,6 +6,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import martenloom.common.clock.Clocks;
+import martenloom.common.clock.Staleness;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PeerLinks;
@@ -20,9 +21,6 @@
  * unless there is no other. Runs on the reactor thread.
  */
 public final class HomeConnection {
-    /** The age from which a daemon's knowledge of the core counts as stale. */
-    private static final long STALE_US = 1_500_000;
-
     private static final long UNRESPONSIVE_US = 1_400_000;
     private static final long REDIAL_US = 150_000;
 
@@ -80,7 +78,7 @@
 
     /** Whether knowledge of this age still counts. */
     public static boolean isFresh(long staleUs) {
-        return staleUs < STALE_US;
+        return staleUs < Staleness.MAX_STALENESS_US;
     }
 
     /** Picks the first home. */
