--- a/autoscaler/src/test/java/martenloom/autoscaler/ScaleMachineTest.java
+++ b/autoscaler/src/test/java/martenloom/autoscaler/ReplicaCountControllerTest.java
@@ -15,24 +15,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The four rules of the source, its worked figures, both ends of every range, and seeded loads. */
-final class ScaleMachineTest {
+final class ReplicaCountControllerTest {
     private static final long S = 1_000_000;
     private long now;
 
-    private static ScaleSettings settings(Object... fields) {
-        var m = new EnumMap<ScaleSettings.Field, Double>(ScaleSettings.Field.class);
+    private static ScalingSettings settings(Object... fields) {
+        var m = new EnumMap<ScalingField, Double>(ScalingField.class);
         for (var i = 0; i < fields.length; i += 2) {
-            m.put((ScaleSettings.Field) fields[i], ((Number) fields[i + 1]).doubleValue());
+            m.put((ScalingField) fields[i], ((Number) fields[i + 1]).doubleValue());
         }
-        return ScaleSettings.DEFAULT.with("m", m);
+        return ScalingSettings.DEFAULT.with("m", m);
     }
 
-    private static ScaleMachine.Fleet fleet(int registered, int running) {
-        return new ScaleMachine.Fleet(registered, running, 10);
+    private static ReplicaCounts fleet(int registered, int running) {
+        return new ReplicaCounts(registered, running, 10);
     }
 
     /** Whole windows of a steady load, a sample a second. */
-    private int windows(ScaleMachine m, ScaleSettings p, int load, int n, int registered) {
+    private int windows(
+            ReplicaCountController m, ScalingSettings p, int load, int n, int registered) {
         for (var w = 0; w < n; w++) {
             var due = false;
             while (!due) {
@@ -46,20 +47,20 @@
 
     @Test
     void twentyFiveInFlightWithTenAtSeventyPercentAreFour() {
-        var p = settings(ScaleSettings.Field.TARGET, 10);
-        var m = new ScaleMachine(p, 1, now);
+        var p = settings(ScalingField.TARGET, 10);
+        var m = new ReplicaCountController(p, 1, now);
         assertEquals(4, windows(m, p, 25, 1, 9));
         assertEquals(25, m.average());
-        assertEquals(4, ScaleMachine.wanted(25, 7));
-        assertEquals(4, ScaleMachine.wanted(28, 7));
-        assertEquals(5, ScaleMachine.wanted(28.01, 7));
-        assertEquals(0, ScaleMachine.wanted(0, 7));
+        assertEquals(4, ReplicaCountController.wanted(25, 7));
+        assertEquals(4, ReplicaCountController.wanted(28, 7));
+        assertEquals(5, ReplicaCountController.wanted(28.01, 7));
+        assertEquals(0, ReplicaCountController.wanted(0, 7));
     }
 
     @Test
     void loadIsAveragedOverTheWindow() {
-        var p = settings(ScaleSettings.Field.TARGET, 10);
-        var m = new ScaleMachine(p, 1, now);
+        var p = settings(ScalingField.TARGET, 10);
+        var m = new ReplicaCountController(p, 1, now);
         for (var i = 1; i < 60; i++) {
             now += S;
             assertFalse(m.sample(i % 2 * 50, true, now));
@@ -71,16 +72,9 @@
 
     @Test
     void eightTooManyFallToFourTwoOne() {
-        var p =
-                settings(
-                        ScaleSettings.Field.WINDOW,
-                        10,
-                        ScaleSettings.Field.DELAY,
-                        30,
-                        ScaleSettings.Field.TARGET,
-                        10);
+        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 30, ScalingField.TARGET, 10);
         for (var want : new int[] {0, 2}) {
-            var m = new ScaleMachine(p, want + 8, now);
+            var m = new ReplicaCountController(p, want + 8, now);
             var seen = new ArrayList<Integer>();
             for (var i = 0; i < 24; i++) {
                 var d = windows(m, p, want * 7, 1, 12) - want;
@@ -94,20 +88,13 @@
 
     @Test
     void theDelayRunsWholeAndReturningLoadResetsIt() {
-        var p =
-                settings(
-                        ScaleSettings.Field.WINDOW,
-                        10,
-                        ScaleSettings.Field.DELAY,
-                        30,
-                        ScaleSettings.Field.TARGET,
-                        10);
-        var m = new ScaleMachine(p, 4, now);
+        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 30, ScalingField.TARGET, 10);
+        var m = new ReplicaCountController(p, 4, now);
         assertEquals(4, windows(m, p, 0, 3, 4));
-        assertEquals(ScaleMachine.Phase.WAITING, m.phase());
+        assertEquals(ScalingPhase.WAITING, m.phase());
         assertEquals(10 * S, m.delayLeftUs(now));
         assertEquals(4, windows(m, p, 25, 1, 4), "load is back within the delay");
-        assertEquals(ScaleMachine.Phase.STEADY, m.phase());
+        assertEquals(ScalingPhase.STEADY, m.phase());
         assertEquals(4, windows(m, p, 0, 3, 4), "the delay began anew");
         assertEquals(2, windows(m, p, 0, 1, 4));
         assertEquals(2, windows(m, p, 0, 2, 4), "and begins anew after each step");
@@ -118,87 +105,70 @@
     void floorAndCeilingHoldAndTheDefaultCeilingIsWhatIsRegistered() {
         var p =
                 settings(
-                        ScaleSettings.Field.WINDOW,
+                        ScalingField.WINDOW,
                         10,
-                        ScaleSettings.Field.DELAY,
+                        ScalingField.DELAY,
                         0,
-                        ScaleSettings.Field.TARGET,
+                        ScalingField.TARGET,
                         10,
-                        ScaleSettings.Field.FLOOR,
+                        ScalingField.FLOOR,
                         2,
-                        ScaleSettings.Field.CEILING,
+                        ScalingField.CEILING,
                         5);
-        var m = new ScaleMachine(p, 3, now);
+        var m = new ReplicaCountController(p, 3, now);
         assertEquals(5, windows(m, p, 1000, 1, 9));
         assertEquals(2, windows(m, p, 0, 9, 9));
-        var q = settings(ScaleSettings.Field.TARGET, 10);
-        assertEquals(7, windows(new ScaleMachine(q, 3, now), q, 1000, 1, 7));
+        var q = settings(ScalingField.TARGET, 10);
+        assertEquals(7, windows(new ReplicaCountController(q, 3, now), q, 1000, 1, 7));
     }
 
     @Test
     void bothEndsOfTheRangesWork() {
         for (var w : new int[] {10, 3600}) {
-            var p = settings(ScaleSettings.Field.WINDOW, w, ScaleSettings.Field.TARGET, 10);
-            var m = new ScaleMachine(p, 1, now);
+            var p = settings(ScalingField.WINDOW, w, ScalingField.TARGET, 10);
+            var m = new ReplicaCountController(p, 1, now);
             var t = now;
             assertEquals(4, windows(m, p, 25, 1, 9));
             assertEquals(w * S, now - t);
         }
-        var p0 =
-                settings(
-                        ScaleSettings.Field.WINDOW,
-                        10,
-                        ScaleSettings.Field.DELAY,
-                        0,
-                        ScaleSettings.Field.TARGET,
-                        10);
+        var p0 = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 0, ScalingField.TARGET, 10);
         assertEquals(
                 4,
-                windows(new ScaleMachine(p0, 8, now), p0, 0, 1, 8),
+                windows(new ReplicaCountController(p0, 8, now), p0, 0, 1, 8),
                 "a delay of nothing steps at each decision");
         var p1 =
                 settings(
-                        ScaleSettings.Field.WINDOW,
-                        10,
-                        ScaleSettings.Field.DELAY,
-                        3600,
-                        ScaleSettings.Field.TARGET,
-                        10);
-        var m1 = new ScaleMachine(p1, 8, now);
+                        ScalingField.WINDOW, 10, ScalingField.DELAY, 3600, ScalingField.TARGET, 10);
+        var m1 = new ReplicaCountController(p1, 8, now);
         assertEquals(8, windows(m1, p1, 0, 360, 8));
         assertEquals(4, windows(m1, p1, 0, 1, 8));
         var s1 =
                 settings(
-                        ScaleSettings.Field.WINDOW,
+                        ScalingField.WINDOW,
                         10,
-                        ScaleSettings.Field.DELAY,
+                        ScalingField.DELAY,
                         0,
-                        ScaleSettings.Field.STEP,
+                        ScalingField.STEP,
                         1,
-                        ScaleSettings.Field.TARGET,
+                        ScalingField.TARGET,
                         10);
         assertEquals(
-                299, windows(new ScaleMachine(s1, 300, now), s1, 297 * 7, 1, 300), "one at least");
+                299,
+                windows(new ReplicaCountController(s1, 300, now), s1, 297 * 7, 1, 300),
+                "one at least");
         assertEquals(
                 297,
-                windows(new ScaleMachine(s1, 300, now), s1, 0, 1, 300),
+                windows(new ReplicaCountController(s1, 300, now), s1, 0, 1, 300),
                 "one in a hundred at most");
-        assertEquals(25, ScaleMachine.wanted(25, 100 * 0.01));
-        var u = settings(ScaleSettings.Field.UTILIZATION, 100, ScaleSettings.Field.TARGET, 10);
-        assertEquals(3, windows(new ScaleMachine(u, 1, now), u, 25, 1, 9));
+        assertEquals(25, ReplicaCountController.wanted(25, 100 * 0.01));
+        var u = settings(ScalingField.UTILIZATION, 100, ScalingField.TARGET, 10);
+        assertEquals(3, windows(new ReplicaCountController(u, 1, now), u, 25, 1, 9));
     }
 
     @Test
     void aWindowInWhichTooFewEdgesWereHeardMayRaiseAndNeverLower() {
-        var p =
-                settings(
-                        ScaleSettings.Field.WINDOW,
-                        10,
-                        ScaleSettings.Field.DELAY,
-                        0,
-                        ScaleSettings.Field.TARGET,
-                        10);
-        var m = new ScaleMachine(p, 4, now);
+        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 0, ScalingField.TARGET, 10);
+        var m = new ReplicaCountController(p, 4, now);
         now += 5 * S;
         m.sample(0, false, now);
         now += 5 * S;
@@ -211,8 +181,8 @@
 
     @Test
     void fromNothingTheFirstThatWaitsWakesOne() {
-        var p = settings(ScaleSettings.Field.DELAY, 0, ScaleSettings.Field.TARGET, 10);
-        var m = new ScaleMachine(p, 0, now);
+        var p = settings(ScalingField.DELAY, 0, ScalingField.TARGET, 10);
+        var m = new ReplicaCountController(p, 0, now);
         assertFalse(m.sample(0, true, now += S / 5));
         assertTrue(m.sample(1, true, now += S / 5), "no window is waited for");
         assertEquals(1, m.decide(fleet(4, 0), now));
@@ -220,38 +190,32 @@
 
     @Test
     void aRefusedDecisionIsShownAndHeld() {
-        var p =
-                settings(
-                        ScaleSettings.Field.WINDOW,
-                        10,
-                        ScaleSettings.Field.DELAY,
-                        10,
-                        ScaleSettings.Field.TARGET,
-                        10);
-        var m = new ScaleMachine(p, 4, now);
+        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 10, ScalingField.TARGET, 10);
+        var m = new ReplicaCountController(p, 4, now);
         assertEquals(2, windows(m, p, 0, 2, 4));
-        m.refused(4, "model 'm' would run nowhere", now);
+        m.rejected(4, "model 'm' would run nowhere", now);
         assertEquals(4, m.desired());
-        assertEquals(ScaleMachine.Phase.HELD, m.phase());
-        assertTrue(m.why().contains("nowhere"));
+        assertEquals(ScalingPhase.HELD, m.phase());
+        assertTrue(m.reason().contains("nowhere"));
     }
 
     @Test
     void valuesOutOfRangeNameModelFieldAndRange() {
-        for (var f : ScaleSettings.Field.values()) {
+        for (var f : ScalingField.values()) {
             var x = assertThrows(MartenloomException.class, () -> settings(f, -1));
             assertTrue(
-                    x.getMessage().contains("'m' " + f.name) && x.getMessage().contains("from"),
+                    x.getMessage().contains("'m' " + f.configurationName())
+                            && x.getMessage().contains("from"),
                     x.getMessage());
         }
-        assertThrows(MartenloomException.class, () -> settings(ScaleSettings.Field.STEP, 51));
-        assertThrows(MartenloomException.class, () -> settings(ScaleSettings.Field.WINDOW, 9.5));
+        assertThrows(MartenloomException.class, () -> settings(ScalingField.STEP, 51));
+        assertThrows(MartenloomException.class, () -> settings(ScalingField.WINDOW, 9.5));
         assertThrows(
                 MartenloomException.class,
-                () -> settings(ScaleSettings.Field.FLOOR, 3, ScaleSettings.Field.CEILING, 2));
-        assertThrows(MartenloomException.class, () -> ScaleSettings.parse("window"));
-        assertThrows(MartenloomException.class, () -> ScaleSettings.parse("wondow=3"));
-        assertEquals(10, ScaleSettings.parse("window=10,delay=5").windowS());
+                () -> settings(ScalingField.FLOOR, 3, ScalingField.CEILING, 2));
+        assertThrows(MartenloomException.class, () -> ScalingSettings.parse("window"));
+        assertThrows(MartenloomException.class, () -> ScalingSettings.parse("wondow=3"));
+        assertEquals(10, ScalingSettings.parse("window=10,delay=5").windowS());
     }
 
     @ParameterizedTest
@@ -264,21 +228,21 @@
         var step = 1 + r.nextInt(50);
         var p =
                 settings(
-                        ScaleSettings.Field.WINDOW,
+                        ScalingField.WINDOW,
                         10,
-                        ScaleSettings.Field.DELAY,
+                        ScalingField.DELAY,
                         delay,
-                        ScaleSettings.Field.STEP,
+                        ScalingField.STEP,
                         step,
-                        ScaleSettings.Field.TARGET,
+                        ScalingField.TARGET,
                         1 + r.nextInt(30),
-                        ScaleSettings.Field.UTILIZATION,
+                        ScalingField.UTILIZATION,
                         1 + r.nextInt(100),
-                        ScaleSettings.Field.FLOOR,
+                        ScalingField.FLOOR,
                         floor,
-                        ScaleSettings.Field.CEILING,
+                        ScalingField.CEILING,
                         ceiling);
-        var m = new ScaleMachine(p, floor + r.nextInt(ceiling - floor + 1), now);
+        var m = new ReplicaCountController(p, floor + r.nextInt(ceiling - floor + 1), now);
         var lowered = now - 3600 * S;
         var load = 0;
         for (var i = 0; i < 20_000; i++) {
--- a/common/src/main/java/martenloom/common/clock/Clocks.java
+++ b/common/src/main/java/martenloom/common/clock/Clocks.java
@@ -1,67 +1,69 @@
 package martenloom.common.clock;
 
 import io.activej.eventloop.Eventloop;
-import io.activej.reactor.schedule.ScheduledRunnable;
 import martenloom.common.log.RingLog;
 
 /**
- * Steady time in whole microseconds and the timers hung on a reactor. The reactor itself is given
- * the steady clock too, so that no jump of the time of day can move a deadline.
+ * The steady clock in whole microseconds, and the reactors and timers that run by it. A reactor
+ * uses the steady clock too, so that no jump of the time of day moves a deadline.
  */
 public final class Clocks {
+    private static final long NS_PER_US = 1000;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long US_PER_MS = 1000;
+
+    /** Added to the time of a reactor, whose zero must lie far back. */
+    private static final long REACTOR_OFFSET_MS = 1_000_000_000_000L;
+
+    private static final int MAX_TRACE_FRAMES = 6;
+
     private Clocks() {}
 
+    /** The steady time in microseconds; its zero is arbitrary. Thread-safe. */
     public static long nowUs() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NS_PER_US;
     }
 
+    /** A reactor whose thread has this name. */
     public static Eventloop reactor(String name) {
         return Eventloop.builder()
                 .withThreadName(name)
-                .withTimeProvider(() -> System.nanoTime() / 1_000_000 + 1_000_000_000_000L)
+                .withTimeProvider(() -> System.nanoTime() / NS_PER_MS + REACTOR_OFFSET_MS)
                 .withFatalErrorHandler(
-                        (e, c) -> RingLog.wrong("fatal at " + name + ": " + trace(e)))
+                        (error, context) -> RingLog.error("fatal at " + name + ": " + trace(error)))
                 .build();
     }
 
-    public static String trace(Throwable e) {
-        var b = new StringBuilder(e.toString());
-        var st = e.getStackTrace();
-        for (var i = 0; i < Math.min(6, st.length); i++) {
-            b.append(" < ").append(st[i]);
+    /** An exception and the innermost frames of its stack, in one line. */
+    public static String trace(Throwable error) {
+        var line = new StringBuilder(error.toString());
+        var frames = error.getStackTrace();
+        for (var i = 0; i < Math.min(MAX_TRACE_FRAMES, frames.length); i++) {
+            line.append(" < ").append(frames[i]);
         }
-        return b.toString();
+        return line.toString();
     }
 
-    public static Timer after(Eventloop loop, long us, Runnable r) {
-        return new Timer(loop, us, r);
+    /** Runs a task once on the reactor thread after a delay in microseconds. */
+    public static ReactorTimer after(Eventloop loop, long delayUs, Runnable task) {
+        return new ReactorTimer(loop, delayUs, task);
     }
 
-    public static void every(Eventloop loop, long us, Runnable r) {
+    /**
+     * Runs a task on the reactor thread again and again, with a pause in microseconds before each
+     * run. An exception of one run is logged and does not keep the next from coming.
+     */
+    @SuppressWarnings("IllegalCatch") // whatever fails in one run, the periodic task goes on
+    public static void every(Eventloop loop, long pauseUs, Runnable task) {
         loop.schedule(
-                loop.currentTimeMillis() + Math.max(1, us / 1000),
+                loop.currentTimeMillis() + Math.max(1, pauseUs / US_PER_MS),
                 () -> {
                     try {
-                        r.run();
+                        task.run();
                     } catch (RuntimeException e) {
-                        RingLog.wrong("timers: " + trace(e));
+                        RingLog.error("timers: " + trace(e));
                     }
-                    every(loop, us, r);
+                    every(loop, pauseUs, task);
                 });
     }
-
-    /** One pending timers; cancelling a fired or cancelled one does nothing. */
-    public static final class Timer {
-        private final ScheduledRunnable sr;
-
-        private Timer(Eventloop loop, long us, Runnable r) {
-            sr = loop.schedule(loop.currentTimeMillis() + (us + 999) / 1000, r);
-        }
-
-        public void cancel() {
-            if (sr.isActive()) {
-                sr.cancel();
-            }
-        }
-    }
 }
--- a/common/src/main/java/martenloom/common/fleet/ReplicaRecord.java
+++ b/common/src/main/java/martenloom/common/fleet/ReplicaRecord.java
@@ -4,54 +4,194 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 
-/** One life of a replica. */
+/**
+ * One incarnation of a replica, as a core daemon registers it and edges learn of it.
+ *
+ * <p>Not thread-safe: the registry changes a record only under the lock of its shard, an edge only
+ * on its reactor thread. Times are microseconds of the steady clock of the daemon that holds the
+ * record; on the wire they are ages and remaining times, so that daemons need no common clock.
+ */
 public final class ReplicaRecord {
-    public String id = "";
-    public String service = "";
-    public String address = "";
-    public String zone = "";
-    public int capacity = 1;
-    public long seq;
-    public boolean draining;
-    public boolean gone;
-    public boolean silent;
-    public long warmAtUs;
-    public long leavesAtUs = Long.MAX_VALUE;
-    public long heardUs;
-
-    public void write(RecordWriter o, long now) {
-        o.text(id).text(service).text(address).text(zone).i32(capacity).i64(seq);
-        o.u8((draining ? 1 : 0) | (gone ? 2 : 0) | (silent ? 4 : 0));
-        o.i64(Math.max(0, warmAtUs - now))
-                .i64(leavesAtUs == Long.MAX_VALUE ? -1 : Math.max(0, leavesAtUs - now))
-                .i64(now - heardUs);
-    }
-
-    public static ReplicaRecord read(RecordReader in, long now) {
-        var r = new ReplicaRecord();
-        r.id = in.text();
-        r.service = in.text();
-        r.address = in.text();
-        r.zone = in.text();
-        r.capacity = in.i32();
-        r.seq = in.i64();
-        var f = in.u8();
-        r.draining = (f & 1) != 0;
-        r.gone = (f & 2) != 0;
-        r.silent = (f & 4) != 0;
-        r.warmAtUs = now + in.i64();
-        var l = in.i64();
-        r.leavesAtUs = l < 0 ? Long.MAX_VALUE : now + l;
-        r.heardUs = now - in.i64();
-        return r;
-    }
-
-    public boolean newer(ReplicaRecord o) {
-        return gone != o.gone ? gone : seq > o.seq;
-    }
-
-    /** What matters to an edge about this life, warmth apart. */
+    /** The drain deadline of a replica that has announced none. */
+    public static final long NO_DEADLINE = Long.MAX_VALUE;
+
+    private static final int DRAINING_FLAG = 1;
+    private static final int ENDED_FLAG = 2;
+    private static final int UNREACHABLE_FLAG = 4;
+    private static final long NO_DEADLINE_ON_WIRE = -1;
+
+    private String id = "";
+    private String service = "";
+
+    /** Where it serves, as IP:PORT. */
+    private String address = "";
+
+    private String zone = "";
+
+    /** Requests that it serves at the same time. */
+    private int capacity = 1;
+
+    /** Number of the heartbeat that this record was made from; grows within one incarnation. */
+    private long sequence;
+
+    private boolean draining;
+
+    /** It has ended for good: this record is its tombstone. */
+    private boolean ended;
+
+    /** Its heartbeats have timed out. */
+    private boolean unreachable;
+
+    private long warmFromUs;
+    private long drainDeadlineUs = NO_DEADLINE;
+    private long lastHeartbeatUs;
+
+    public String id() {
+        return id;
+    }
+
+    public void setId(String id) {
+        this.id = id;
+    }
+
+    public String service() {
+        return service;
+    }
+
+    public void setService(String service) {
+        this.service = service;
+    }
+
+    public String address() {
+        return address;
+    }
+
+    public void setAddress(String address) {
+        this.address = address;
+    }
+
+    public String zone() {
+        return zone;
+    }
+
+    public void setZone(String zone) {
+        this.zone = zone;
+    }
+
+    public int capacity() {
+        return capacity;
+    }
+
+    public void setCapacity(int capacity) {
+        this.capacity = capacity;
+    }
+
+    public long sequence() {
+        return sequence;
+    }
+
+    public void setSequence(long sequence) {
+        this.sequence = sequence;
+    }
+
+    public boolean draining() {
+        return draining;
+    }
+
+    public void setDraining(boolean draining) {
+        this.draining = draining;
+    }
+
+    public boolean ended() {
+        return ended;
+    }
+
+    public void setEnded(boolean ended) {
+        this.ended = ended;
+    }
+
+    public boolean unreachable() {
+        return unreachable;
+    }
+
+    public void setUnreachable(boolean unreachable) {
+        this.unreachable = unreachable;
+    }
+
+    public long warmFromUs() {
+        return warmFromUs;
+    }
+
+    public void setWarmFromUs(long warmFromUs) {
+        this.warmFromUs = warmFromUs;
+    }
+
+    public long drainDeadlineUs() {
+        return drainDeadlineUs;
+    }
+
+    public void setDrainDeadlineUs(long drainDeadlineUs) {
+        this.drainDeadlineUs = drainDeadlineUs;
+    }
+
+    public long lastHeartbeatUs() {
+        return lastHeartbeatUs;
+    }
+
+    public void setLastHeartbeatUs(long lastHeartbeatUs) {
+        this.lastHeartbeatUs = lastHeartbeatUs;
+    }
+
+    /**
+     * Writes the record.
+     *
+     * @param nowUs the time to which the written ages and remaining times refer
+     */
+    public void write(RecordWriter out, long nowUs) {
+        out.text(id).text(service).text(address).text(zone).i32(capacity).i64(sequence);
+        out.u8(
+                (draining ? DRAINING_FLAG : 0)
+                        | (ended ? ENDED_FLAG : 0)
+                        | (unreachable ? UNREACHABLE_FLAG : 0));
+        out.i64(Math.max(0, warmFromUs - nowUs))
+                .i64(
+                        drainDeadlineUs == NO_DEADLINE
+                                ? NO_DEADLINE_ON_WIRE
+                                : Math.max(0, drainDeadlineUs - nowUs))
+                .i64(nowUs - lastHeartbeatUs);
+    }
+
+    /**
+     * Reads what {@link #write} wrote.
+     *
+     * @param nowUs the time of this daemon's clock at which the record was written
+     */
+    public static ReplicaRecord read(RecordReader in, long nowUs) {
+        var replica = new ReplicaRecord();
+        replica.id = in.text();
+        replica.service = in.text();
+        replica.address = in.text();
+        replica.zone = in.text();
+        replica.capacity = in.i32();
+        replica.sequence = in.i64();
+        var flags = in.u8();
+        replica.draining = (flags & DRAINING_FLAG) != 0;
+        replica.ended = (flags & ENDED_FLAG) != 0;
+        replica.unreachable = (flags & UNREACHABLE_FLAG) != 0;
+        replica.warmFromUs = nowUs + in.i64();
+        var untilDeadlineUs = in.i64();
+        replica.drainDeadlineUs = untilDeadlineUs < 0 ? NO_DEADLINE : nowUs + untilDeadlineUs;
+        replica.lastHeartbeatUs = nowUs - in.i64();
+        return replica;
+    }
+
+    /** Whether this record replaces another of the same replica; the end of a replica is final. */
+    public boolean isNewerThan(ReplicaRecord other) {
+        return ended != other.ended ? ended : sequence > other.sequence;
+    }
+
+    /** A hash of everything in the record that matters to an edge, apart from its warm-up. */
     public int digest() {
-        return Objects.hash(id, service, address, zone, draining, gone, silent);
+        return Objects.hash(id, service, address, zone, draining, ended, unreachable);
     }
 }
--- a/common/src/main/java/martenloom/common/jobs/Job.java
+++ b/common/src/main/java/martenloom/common/jobs/Job.java
@@ -7,173 +7,276 @@
 import martenloom.common.codec.RecordWriter;
 
 /**
- * One deferred job as the core keeps it and an edge runs it. Its states are explicit; how urgent it
- * is follows from its slack alone, by the steps of urgency().
+ * One deferred job, as the core keeps it and an edge runs it: its request, its {@link JobState},
+ * and what its attempts have brought so far. Not thread-safe; the core changes a job only on a
+ * {@link #copy()} that then replaces it. Times are microseconds on the replicated clock of the
+ * jobs.
  */
 public final class Job {
-    /** Where a deferred job stands between its submission and the confirmation of its result. */
-    public enum State {
-        WAITING,
-        RUNNING,
-        DONE,
-        FAILED,
-        UNCERTAIN,
-        CANCELLED,
-        EXPIRED;
-
-        public boolean live() {
-            return this == WAITING || this == RUNNING;
-        }
-
-        public String word() {
-            return name().toLowerCase(Locale.ROOT);
-        }
-    }
-
-    public String id = "";
-    public String region = "";
-    public String method = "POST";
-    public String host = "";
-    public String path = "";
-    public List<String> fields = List.of();
-    public byte[] body = new byte[0];
-    public String digest = "";
-    public boolean repeatable;
-    public boolean resumable;
-    public long submittedUs;
-    public long dueUs;
-    public State state = State.WAITING;
-    public long fence;
-    public int runs;
-    public String lastEvent = "";
-    public byte[] kept = new byte[0];
-    public int status;
-    public byte[] result = new byte[0];
-    public boolean confirmed;
-    public long endedUs;
-    public String why = "";
-
-    public String duty() {
+    private static final String PREFIX_FIELD = "x-prompt-prefix:";
+
+    private String id = "";
+
+    /** The region in which the job runs. */
+    private String region = "";
+
+    private String method = "POST";
+    private String host = "";
+    private String path = "";
+
+    /** Header fields of the request, each as "name: value". */
+    private List<String> headerFields = List.of();
+
+    private byte[] body = new byte[0];
+
+    /** A hash of the submission, by which a repeated submission is recognised. */
+    private String digest = "";
+
+    /** Whether an attempt whose outcome is unknown may be followed by another. */
+    private boolean retriable;
+
+    /** Whether an attempt may go on from the checkpoint of the one before. */
+    private boolean resumable;
+
+    private long submittedUs;
+    private long deadlineUs;
+    private JobState state = JobState.WAITING;
+
+    /** The token of the role lease under which the current attempt was started. */
+    private long fencingToken;
+
+    /** How many attempts were started. */
+    private int attempts;
+
+    /** The id of the last event in the checkpoint. */
+    private String lastEventId = "";
+
+    /** The part of the result that was saved while the attempt was running. */
+    private byte[] checkpoint = new byte[0];
+
+    /** The HTTP status of the result. */
+    private int status;
+
+    private byte[] result = new byte[0];
+
+    /** Whether the submitter has confirmed the receipt of the result. */
+    private boolean confirmed;
+
+    private long endedUs;
+
+    /** Why the job is in this state, for the operator. */
+    private String reason = "";
+
+    public String id() {
+        return id;
+    }
+
+    public void setId(String id) {
+        this.id = id;
+    }
+
+    public String region() {
+        return region;
+    }
+
+    public void setRegion(String region) {
+        this.region = region;
+    }
+
+    public String method() {
+        return method;
+    }
+
+    public void setMethod(String method) {
+        this.method = method;
+    }
+
+    public String host() {
+        return host;
+    }
+
+    public void setHost(String host) {
+        this.host = host;
+    }
+
+    public String path() {
+        return path;
+    }
+
+    public void setPath(String path) {
+        this.path = path;
+    }
+
+    public List<String> headerFields() {
+        return headerFields;
+    }
+
+    public void setHeaderFields(List<String> headerFields) {
+        this.headerFields = headerFields;
+    }
+
+    public byte[] body() {
+        return body;
+    }
+
+    public void setBody(byte[] body) {
+        this.body = body;
+    }
+
+    public String digest() {
+        return digest;
+    }
+
+    public void setDigest(String digest) {
+        this.digest = digest;
+    }
+
+    public boolean retriable() {
+        return retriable;
+    }
+
+    public void setRetriable(boolean retriable) {
+        this.retriable = retriable;
+    }
+
+    public boolean resumable() {
+        return resumable;
+    }
+
+    public void setResumable(boolean resumable) {
+        this.resumable = resumable;
+    }
+
+    public long submittedUs() {
+        return submittedUs;
+    }
+
+    public void setSubmittedUs(long submittedUs) {
+        this.submittedUs = submittedUs;
+    }
+
+    public long deadlineUs() {
+        return deadlineUs;
+    }
+
+    public void setDeadlineUs(long deadlineUs) {
+        this.deadlineUs = deadlineUs;
+    }
+
+    public JobState state() {
+        return state;
+    }
+
+    public void setState(JobState state) {
+        this.state = state;
+    }
+
+    public long fencingToken() {
+        return fencingToken;
+    }
+
+    public void setFencingToken(long fencingToken) {
+        this.fencingToken = fencingToken;
+    }
+
+    public int attempts() {
+        return attempts;
+    }
+
+    public void setAttempts(int attempts) {
+        this.attempts = attempts;
+    }
+
+    public String lastEventId() {
+        return lastEventId;
+    }
+
+    public void setLastEventId(String lastEventId) {
+        this.lastEventId = lastEventId;
+    }
+
+    public byte[] checkpoint() {
+        return checkpoint;
+    }
+
+    public void setCheckpoint(byte[] checkpoint) {
+        this.checkpoint = checkpoint;
+    }
+
+    public int status() {
+        return status;
+    }
+
+    public void setStatus(int status) {
+        this.status = status;
+    }
+
+    public byte[] result() {
+        return result;
+    }
+
+    public void setResult(byte[] result) {
+        this.result = result;
+    }
+
+    public boolean confirmed() {
+        return confirmed;
+    }
+
+    public void setConfirmed(boolean confirmed) {
+        this.confirmed = confirmed;
+    }
+
+    public long endedUs() {
+        return endedUs;
+    }
+
+    public void setEndedUs(long endedUs) {
+        this.endedUs = endedUs;
+    }
+
+    public String reason() {
+        return reason;
+    }
+
+    public void setReason(String reason) {
+        this.reason = reason;
+    }
+
+    /** The singleton role that runs the jobs of this region. */
+    public String role() {
         return "jobs/" + region;
     }
 
-    public long bytes() {
+    /** What the job counts against the limit on memory for jobs. */
+    public long sizeBytes() {
         return body.length
-                + kept.length
+                + checkpoint.length
                 + result.length
                 + path.length()
-                + fields.stream().mapToInt(String::length).sum();
+                + headerFields.stream().mapToInt(String::length).sum();
     }
 
-    public static byte[] join(byte[] a, byte[] b) {
-        var c = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, c, a.length, b.length);
-        return c;
+    /** The checkpoint with more bytes after it. */
+    public byte[] checkpointFollowedBy(byte[] more) {
+        var joined = Arrays.copyOf(checkpoint, checkpoint.length + more.length);
+        System.arraycopy(more, 0, joined, checkpoint.length, more.length);
+        return joined;
     }
 
-    /** The first shared part of its prompt, by which like jobs are run together. */
-    public String prefix() {
-        return fields.stream()
-                .filter(f -> f.toLowerCase(Locale.ROOT).startsWith("x-prompt-prefix:"))
+    /** The first part of its prompt prefix: jobs that share it are run together. */
+    public String promptPrefix() {
+        return headerFields.stream()
+                .filter(field -> field.toLowerCase(Locale.ROOT).startsWith(PREFIX_FIELD))
                 .findFirst()
-                .map(f -> f.substring(16).strip().split("[:,]")[0])
+                .map(field -> field.substring(PREFIX_FIELD.length()).strip().split("[:,]")[0])
                 .orElse("");
     }
 
-    /**
-     * The rule of urgency. 0: more than half of its time is left; 1: more than a fifth; 2: more
-     * than a twentieth, or the last 20 s; 3: the last 5 s. A step higher is run in less room, and
-     * asked of replicas with more weight.
-     */
-    public static int urgency(long leftUs, long wholeUs) {
-        if (leftUs < 5_000_000) {
-            return 3;
-        }
-        if (leftUs < 20_000_000 && leftUs * 2 < wholeUs || leftUs * 20 < wholeUs) {
-            return 2;
-        }
-        return leftUs * 2 > wholeUs ? 0 : leftUs * 5 > wholeUs ? 1 : 2;
-    }
-
+    /** A deep copy. */
     public Job copy() {
-        var o = new RecordWriter();
-        write(o);
-        return read(new RecordReader(o.bytes(), false));
-    }
-
-    public void write(RecordWriter o) {
-        o.text(id)
-                .text(region)
-                .text(method)
-                .text(host)
-                .text(path)
-                .texts(fields)
-                .blob(body)
-                .text(digest)
-                .flag(repeatable)
-                .flag(resumable);
-        o.i64(submittedUs)
-                .i64(dueUs)
-                .u8(state.ordinal())
-                .i64(fence)
-                .i32(runs)
-                .text(lastEvent)
-                .blob(kept)
-                .i32(status)
-                .blob(result);
-        o.flag(confirmed).i64(endedUs).text(why);
-    }
-
-    public static Job read(RecordReader in) {
-        var j = new Job();
-        j.id = in.text();
-        j.region = in.text();
-        j.method = in.text();
-        j.host = in.text();
-        j.path = in.text();
-        j.fields = in.texts();
-        j.body = in.blob();
-        j.digest = in.text();
-        j.repeatable = in.flag();
-        j.resumable = in.flag();
-        j.submittedUs = in.i64();
-        j.dueUs = in.i64();
-        j.state = State.values()[in.u8()];
-        j.fence = in.i64();
-        j.runs = in.i32();
-        j.lastEvent = in.text();
-        j.kept = in.blob();
-        j.status = in.i32();
-        j.result = in.blob();
-        j.confirmed = in.flag();
-        j.endedUs = in.i64();
-        j.why = in.text();
-        return j;
-    }
-
-    private static String q(String s) {
-        return '"' + s.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", " ") + '"';
-    }
-
-    public String json(long now) {
-        return "{\"Id\":"
-                + q(id)
-                + ",\"State\":"
-                + q(state.word())
-                + ",\"Region\":"
-                + q(region)
-                + ",\"AgeMs\":"
-                + (now - submittedUs) / 1000
-                + ",\"SlackMs\":"
-                + (dueUs - now) / 1000
-                + ",\"Runs\":"
-                + runs
-                + ",\"Status\":"
-                + status
-                + ",\"Confirmed\":"
-                + confirmed
-                + ",\"Why\":"
-                + q(why)
-                + "}";
+        var out = new RecordWriter();
+        JobCodec.write(this, out);
+        return JobCodec.read(new RecordReader(out.bytes(), false));
     }
 }
--- a/common/src/main/java/martenloom/common/link/LinkTraffic.java
+++ b/common/src/main/java/martenloom/common/link/LinkTraffic.java
@@ -6,68 +6,81 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Counts of what daemons say to each other: records and bytes sent, by kind of record, for each
- * reactor thread. One owner writes a count, anyone may read it.
+ * Counts the records and bytes that the links of one reactor thread have sent, by type of record.
+ * Only that thread counts; any thread may read, and may then see a value that is slightly old.
  */
 public final class LinkTraffic {
     private static final Map<String, LinkTraffic> BY_THREAD = new ConcurrentHashMap<>();
-    private static final int KINDS = 128;
+    private static final int TYPES = 128;
+    private static final int LENGTH_BYTES = 4;
 
-    private final long[] records = new long[KINDS];
-    private final long[] bytes = new long[KINDS];
+    private final long[] records = new long[TYPES];
+    private final long[] bytes = new long[TYPES];
+
+    /** What was sent of one type of record. */
+    public record Count(long records, long bytes) {}
 
     private LinkTraffic() {}
 
     /** The counts of the thread that asks. */
-    public static LinkTraffic mine() {
-        return BY_THREAD.computeIfAbsent(Thread.currentThread().getName(), k -> new LinkTraffic());
+    public static LinkTraffic ofCurrentThread() {
+        return BY_THREAD.computeIfAbsent(
+                Thread.currentThread().getName(), name -> new LinkTraffic());
     }
 
-    public static LinkTraffic of(String thread) {
-        return BY_THREAD.getOrDefault(thread, new LinkTraffic());
+    /** The counts of a thread by its name; all 0 when it has sent nothing. */
+    public static LinkTraffic ofThread(String name) {
+        return BY_THREAD.getOrDefault(name, new LinkTraffic());
     }
 
-    void sent(byte[] record) {
-        var k = record.length == 0 ? 0 : record[0] & (KINDS - 1);
-        records[k]++;
-        bytes[k] += record.length + 4;
+    void countSent(byte[] record) {
+        var type = record.length == 0 ? 0 : record[0] & (TYPES - 1);
+        records[type]++;
+        bytes[type] += record.length + LENGTH_BYTES;
     }
 
-    public long records() {
+    /** Records of all types. */
+    public long totalRecords() {
         return Arrays.stream(records).sum();
     }
 
-    public long bytes() {
+    /** Bytes of all types, with the lengths that precede the records. */
+    public long totalBytes() {
         return Arrays.stream(bytes).sum();
     }
 
-    /** Records and bytes by kind, in a map of the kind's number. */
-    public Map<Integer, long[]> kinds() {
-        var m = new TreeMap<Integer, long[]>();
-        for (var i = 0; i < KINDS; i++) {
-            if (records[i] > 0) {
-                m.put(i, new long[] {records[i], bytes[i]});
+    /** The types that were sent, in ascending order, with their counts. */
+    public Map<Integer, Count> countsByType() {
+        var counts = new TreeMap<Integer, Count>();
+        for (var type = 0; type < TYPES; type++) {
+            if (records[type] > 0) {
+                counts.put(type, new Count(records[type], bytes[type]));
             }
         }
-        return m;
+        return counts;
     }
 
-    public static String text() {
-        var b = new StringBuilder();
+    /** The counts of all threads, a line for each thread and type. */
+    public static String report() {
+        var report = new StringBuilder();
         new TreeMap<>(BY_THREAD)
                 .forEach(
-                        (t, x) ->
-                                x.kinds()
+                        (thread, traffic) ->
+                                traffic.countsByType()
                                         .forEach(
-                                                (k, v) ->
-                                                        b.append(t)
-                                                                .append(" record ")
-                                                                .append(k)
-                                                                .append(" sent ")
-                                                                .append(v[0])
-                                                                .append(" bytes ")
-                                                                .append(v[1])
-                                                                .append('\n')));
-        return b.toString();
+                                                (type, count) ->
+                                                        appendLine(report, thread, type, count)));
+        return report.toString();
+    }
+
+    private static void appendLine(StringBuilder report, String thread, int type, Count count) {
+        report.append(thread)
+                .append(" record ")
+                .append(type)
+                .append(" sent ")
+                .append(count.records)
+                .append(" bytes ")
+                .append(count.bytes)
+                .append('\n');
     }
 }
--- /dev/null
+++ b/common/src/main/java/martenloom/common/link/PeerLink.java
@@ -0,0 +1,188 @@
+package martenloom.common.link;
+
+import io.activej.bytebuf.ByteBuf;
+import io.activej.bytebuf.ByteBufPool;
+import io.activej.net.socket.tcp.ITcpSocket;
+import java.util.Arrays;
+import martenloom.common.clock.Clocks;
+import martenloom.common.log.RingLog;
+import martenloom.common.socket.SocketReadHandler;
+import martenloom.common.socket.SocketReader;
+
+/**
+ * One open link between two daemons, in either direction. It carries records, each preceded by its
+ * length in four bytes. It is open from the start and closes once. Runs on the reactor thread.
+ */
+public final class PeerLink implements SocketReadHandler {
+    private static final int LENGTH_BYTES = 4;
+
+    /** The longest record that a link takes. */
+    private static final int MAX_RECORD_BYTES = 24 << 20;
+
+    private static final int MAX_UNSENT_BYTES = 32 << 20;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
+
+    /** A larger buffer is given back as soon as it is empty. */
+    private static final int MAX_IDLE_BUFFER_BYTES = 65536;
+
+    private final ITcpSocket socket;
+    private final PeerLinkHandler handler;
+    private final SocketReader reader;
+    private final LinkTraffic traffic = LinkTraffic.ofCurrentThread();
+    private final TransitDelay transitDelay = new TransitDelay();
+
+    /** Received bytes that do not make a whole record yet: the first {@link #buffered} of them. */
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+
+    private int buffered;
+    private int unsentBytes;
+    private boolean open = true;
+    private long lastReceivedUs = Clocks.nowUs();
+    private Object attachment = "";
+    private String peer;
+
+    PeerLink(ITcpSocket socket, String peer, PeerLinkHandler handler) {
+        this.socket = socket;
+        this.handler = handler;
+        this.peer = peer;
+        reader = new SocketReader(socket, this);
+    }
+
+    /** Begins to read. */
+    void start() {
+        reader.readWhileWanted();
+    }
+
+    public boolean isOpen() {
+        return open;
+    }
+
+    /** The steady time in microseconds at which bytes last arrived, or of the opening. */
+    public long lastReceivedUs() {
+        return lastReceivedUs;
+    }
+
+    /** How long the records that carry their time of sending were under way. */
+    public TransitDelay transitDelay() {
+        return transitDelay;
+    }
+
+    /** A value that the owner of the link has attached to it; at first an empty string. */
+    public Object attachment() {
+        return attachment;
+    }
+
+    public void setAttachment(Object attachment) {
+        this.attachment = attachment;
+    }
+
+    /** The IP address of the peer, or the name that it has given itself. */
+    public String peer() {
+        return peer;
+    }
+
+    public void setPeer(String peer) {
+        this.peer = peer;
+    }
+
+    /**
+     * Sends a record; does nothing on a closed link. A link to a peer that does not read is closed
+     * once {@link #MAX_UNSENT_BYTES} wait to be sent.
+     */
+    public void send(byte[] record) {
+        if (!open) {
+            return;
+        }
+        if (unsentBytes > MAX_UNSENT_BYTES) {
+            RingLog.debug("link " + peer + ": does not read, dropped");
+            close();
+            return;
+        }
+        var frameBytes = record.length + LENGTH_BYTES;
+        var frame = ByteBufPool.allocate(frameBytes);
+        frame.writeInt(record.length);
+        frame.put(record);
+        unsentBytes += frameBytes;
+        traffic.countSent(record);
+        socket.write(frame)
+                .subscribe(
+                        (nothing, error) -> {
+                            unsentBytes -= frameBytes;
+                            if (error != null) {
+                                close();
+                            }
+                        });
+    }
+
+    /** Closes the link and tells its handler; does nothing on a closed link. */
+    public void close() {
+        if (open) {
+            open = false;
+            socket.close();
+            handler.onClosed(this);
+        }
+    }
+
+    @Override
+    public boolean wantsMore() {
+        return open;
+    }
+
+    @Override
+    public void onEnd() {
+        close();
+    }
+
+    @Override
+    public void onBytes(ByteBuf bytes) {
+        lastReceivedUs = Clocks.nowUs();
+        var count = bytes.readRemaining();
+        if (buffered + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, buffered + count));
+        }
+        bytes.drainTo(buffer, buffered, count);
+        buffered += count;
+        handleRecords();
+    }
+
+    /** Passes all whole records in the buffer on and keeps the rest. */
+    private void handleRecords() {
+        var at = 0;
+        while (open && buffered - at >= LENGTH_BYTES) {
+            var length = lengthAt(at);
+            if (length < 1 || length > MAX_RECORD_BYTES) {
+                RingLog.error("link " + peer + ": record length " + length);
+                close();
+                return;
+            }
+            if (buffered - at - LENGTH_BYTES < length) {
+                break;
+            }
+            at += LENGTH_BYTES;
+            var record = Arrays.copyOfRange(buffer, at, at + length);
+            at += length;
+            handle(record);
+        }
+        System.arraycopy(buffer, at, buffer, 0, buffered - at);
+        buffered -= at;
+        if (buffered == 0 && buffer.length > MAX_IDLE_BUFFER_BYTES) {
+            buffer = new byte[INITIAL_BUFFER_BYTES];
+        }
+    }
+
+    private int lengthAt(int at) {
+        return (buffer[at] & 0xFF) << 24
+                | (buffer[at + 1] & 0xFF) << 16
+                | (buffer[at + 2] & 0xFF) << 8
+                | buffer[at + 3] & 0xFF;
+    }
+
+    @SuppressWarnings("IllegalCatch") // whatever a record breaks in its handler, the link goes on
+    private void handle(byte[] record) {
+        try {
+            handler.onRecord(this, record);
+        } catch (RuntimeException e) {
+            RingLog.error("link " + peer + " record " + record[0] + ": " + Clocks.trace(e));
+        }
+    }
+}
--- a/common/src/main/java/martenloom/common/link/PendingRequests.java
+++ b/common/src/main/java/martenloom/common/link/PendingRequests.java
@@ -6,85 +6,76 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import martenloom.common.codec.RecordReader;
-import martenloom.common.codec.RecordWriter;
 
 /**
  * The requests that a daemon has sent to others and that are not answered yet. A request is named
- * by the life of its sender and a counter, so that no two lives use the same id, and is bound to
- * the channel on which it was sent: an answer counts only with that id and from that channel.
- * Whatever else arrives is dropped, and the caller is told with the status 503 that the outcome is
- * unknown, when the request expires or its channel closes. Every caller is told exactly once.
+ * by a {@link RequestId}, so that no two incarnations of a daemon use the same id, and is bound to
+ * the channel on which it was sent: a response counts only with that id and from that channel, and
+ * any other is dropped. When the request expires or its channel closes, the caller gets the status
+ * 503: the outcome is unknown. Each caller is answered exactly once. Not thread-safe: runs on the
+ * thread of its owner.
  *
- * @param <C> the kind of channel, compared by identity
+ * @param <C> the type of channel, compared by identity
  */
 public final class PendingRequests<C> {
-    /** What a caller is told when no answer came: the request may have been carried out or not. */
+    /** The status when no response came: the request may have been carried out or not. */
     public static final int UNKNOWN_OUTCOME = 503;
 
-    /**
-     * The id of one request: a number drawn at random in each life of its sender, and a counter.
-     */
-    public record RequestId(long life, long number) {
-        public void write(RecordWriter out) {
-            out.i64(life).i64(number);
-        }
+    private record Pending<C>(C channel, BiConsumer<Integer, String> callback) {}
 
-        public static RequestId read(RecordReader in) {
-            return new RequestId(in.i64(), in.i64());
-        }
-    }
-
-    private record Pending<C>(C channel, BiConsumer<Integer, String> reply) {}
-
-    private final long life;
+    private final long incarnation;
     private final Map<RequestId, Pending<C>> pending = new HashMap<>();
-    private long sent;
+    private long registered;
 
     /**
-     * @param life a random number that no other life of this daemon uses
+     * @param incarnation a random number that no other run of this daemon uses
      */
-    public PendingRequests(long life) {
-        this.life = life;
+    public PendingRequests(long incarnation) {
+        this.incarnation = incarnation;
     }
 
-    /** Registers a request that is about to be sent on this channel. */
-    public RequestId open(C channel, BiConsumer<Integer, String> reply) {
-        var id = new RequestId(life, ++sent);
-        pending.put(id, new Pending<>(channel, reply));
+    /**
+     * Registers a request that is about to be sent on this channel.
+     *
+     * @param callback takes the status and the text of the response
+     */
+    public RequestId register(C channel, BiConsumer<Integer, String> callback) {
+        var id = new RequestId(incarnation, ++registered);
+        pending.put(id, new Pending<>(channel, callback));
         return id;
     }
 
     /**
-     * Passes an answer on to its caller; false when it is not the answer to a pending request of
+     * Passes a response on to the caller; false when it does not belong to a pending request of
      * this channel.
      */
-    public boolean answered(RequestId id, C channel, int status, String text) {
-        var request = Optional.ofNullable(pending.get(id)).filter(p -> p.channel == channel);
+    public boolean complete(RequestId id, C channel, int status, String text) {
+        var request =
+                Optional.ofNullable(pending.get(id)).filter(found -> found.channel == channel);
         if (request.isEmpty()) {
             return false;
         }
         pending.remove(id);
-        request.get().reply.accept(status, text);
+        request.get().callback.accept(status, text);
         return true;
     }
 
-    /** Gives up a request that had no answer in time; does nothing if it was answered. */
-    public void expire(RequestId id, String why) {
+    /** Gives up a request that had no response in time; does nothing if it had one. */
+    public void expire(RequestId id, String reason) {
         Optional.ofNullable(pending.remove(id))
-                .ifPresent(p -> p.reply.accept(UNKNOWN_OUTCOME, why));
+                .ifPresent(request -> request.callback.accept(UNKNOWN_OUTCOME, reason));
     }
 
-    /** Gives up all requests of a channel that has closed: their answers can only come on it. */
-    public void closed(C channel, String why) {
+    /** Gives up all requests of a channel that has closed: responses can only come on it. */
+    public void channelClosed(C channel, String reason) {
         var lost = new ArrayList<Pending<C>>();
-        Predicate<Pending<C>> onIt = p -> p.channel == channel;
-        pending.values().stream().filter(onIt).forEach(lost::add);
-        pending.values().removeIf(onIt);
-        lost.forEach(p -> p.reply.accept(UNKNOWN_OUTCOME, why));
+        Predicate<Pending<C>> ofChannel = request -> request.channel == channel;
+        pending.values().stream().filter(ofChannel).forEach(lost::add);
+        pending.values().removeIf(ofChannel);
+        lost.forEach(request -> request.callback.accept(UNKNOWN_OUTCOME, reason));
     }
 
-    /** How many requests wait for an answer. */
+    /** How many requests wait for a response. */
     public int size() {
         return pending.size();
     }
--- a/common/src/main/java/martenloom/common/link/TransitDelay.java
+++ b/common/src/main/java/martenloom/common/link/TransitDelay.java
@@ -1,22 +1,26 @@
 package martenloom.common.link;
 
 /**
- * Estimates how long records were under way on one link. The steady clocks of two daemons have no
- * common zero, but the difference between them is constant: the record with the least difference
- * between the clock at which it was sent and that at which it was read is taken as not delayed, and
- * any other as delayed by the excess. A record that sat in a cut link or in the queue of a stalled
- * process thereby shows its age, and what it says is not mistaken for news.
+ * Estimates the transit delay of the records on one link beyond the least delay seen on it.
+ *
+ * <p>The steady clocks of two daemons have no common zero, but their offset is constant. So the
+ * record with the least difference between the sender's clock at sending and the receiver's clock
+ * at reading counts as not delayed, and any other as delayed by the excess over that difference. A
+ * record that waited in a partitioned link or in the queue of a stalled process thereby shows its
+ * age and is not mistaken for current. Not thread-safe.
  */
 public final class TransitDelay {
-    private long leastUs = Long.MAX_VALUE;
+    private long leastDifferenceUs = Long.MAX_VALUE;
 
     /**
-     * The delay of a record that was sent at that time of the sender's clock and is read at this
-     * time of ours.
+     * The delay of one record in microseconds, 0 or more.
+     *
+     * @param sentUs the time of sending, on the sender's clock
+     * @param readUs the time of reading, on the receiver's clock
      */
-    public long measure(long sentUs, long readUs) {
-        var difference = readUs - sentUs;
-        leastUs = Math.min(leastUs, difference);
-        return difference - leastUs;
+    public long excessDelayUs(long sentUs, long readUs) {
+        var differenceUs = readUs - sentUs;
+        leastDifferenceUs = Math.min(leastDifferenceUs, differenceUs);
+        return differenceUs - leastDifferenceUs;
     }
 }
--- a/common/src/main/java/martenloom/common/load/LoadSummary.java
+++ b/common/src/main/java/martenloom/common/load/LoadSummary.java
@@ -7,153 +7,123 @@
 import martenloom.common.codec.RecordWriter;
 
 /**
- * What edges see of the replicas' load, as it is added up on its way: an edge tells its own part to
- * its home, the homes add up the parts of their edges and tell each other the sums, and every edge
- * gets the whole. Attempts in hand, tokens waiting to be read, doubts and who heard it, and good
- * and bad answers of late are kept by replica; requests in flight by region and model, with the
- * number of edges that were heard.
+ * The load of all replicas as edges see it, summed in two steps: an edge reports its own part to
+ * its home, a home adds up the parts of its edges and exchanges sums with the other homes, and each
+ * edge receives the total. It holds the {@link ReplicaLoad} of each replica, the requests in flight
+ * by region and model, and the number of edges that were added up. Not thread-safe.
  */
 public final class LoadSummary {
-    /** The load of one replica. */
-    public static final class Load {
-        public int inHand;
-        public int unread;
-        public int doubts;
-
-        /** Edges that heard it say something just now. */
-        public int heard;
-
-        public int ok;
-        public int bad;
-
-        private void add(Load o, int sign) {
-            inHand += sign * o.inHand;
-            unread += sign * o.unread;
-            doubts += sign * o.doubts;
-            heard += sign * o.heard;
-            ok += sign * o.ok;
-            bad += sign * o.bad;
-        }
-
-        private boolean nothing() {
-            return inHand == 0 && unread == 0 && doubts == 0 && heard == 0 && ok == 0 && bad == 0;
-        }
-    }
+    private static final ReplicaLoad NONE = new ReplicaLoad();
+
+    private final Map<String, ReplicaLoad> loads = new HashMap<>();
 
-    private static final Load NONE = new Load();
-    private final Map<String, Load> loads = new HashMap<>();
-    private final Map<String, Integer> flights = new TreeMap<>();
-    private int edges;
+    /** Requests in flight by region and model. */
+    private final Map<String, Integer> inFlightByModel = new TreeMap<>();
 
-    public int edges() {
-        return edges;
+    private int edgeCount;
+
+    /** The part of one edge, which counts itself. */
+    public static LoadSummary ofEdge() {
+        var part = new LoadSummary();
+        part.edgeCount = 1;
+        return part;
     }
 
-    public Map<String, Integer> flights() {
-        return flights;
+    /** How many edges are summed up here. */
+    public int edgeCount() {
+        return edgeCount;
     }
 
-    public Load load(String replica) {
-        return loads.getOrDefault(replica, NONE);
+    /** Requests in flight, by "region/model". */
+    public Map<String, Integer> inFlightByModel() {
+        return inFlightByModel;
     }
 
-    /** One edge's part begins with itself. */
-    public static LoadSummary ofEdge() {
-        var t = new LoadSummary();
-        t.edges = 1;
-        return t;
+    /** The load of a replica; all 0 when none is known. */
+    public ReplicaLoad replicaLoad(String replica) {
+        return loads.getOrDefault(replica, NONE);
     }
 
-    public Load put(String replica, int inHand, int unread, boolean doubt) {
-        var l = loads.computeIfAbsent(replica, k -> new Load());
-        l.inHand += inHand;
-        l.unread += unread;
-        l.doubts += doubt ? 1 : 0;
-        return l;
+    /** Adds what this edge has in flight at a replica, and returns the replica's load. */
+    public ReplicaLoad addReplica(
+            String replica, int inFlight, int pendingPrefillTokens, boolean suspecting) {
+        var load = loads.computeIfAbsent(replica, key -> new ReplicaLoad());
+        load.addFromEdge(inFlight, pendingPrefillTokens, suspecting);
+        return load;
     }
 
-    public void fly(String regionAndModel) {
-        flights.merge(regionAndModel, 1, Integer::sum);
+    /** Counts one more request in flight for "region/model". */
+    public void addInFlight(String regionAndModel) {
+        inFlightByModel.merge(regionAndModel, 1, Integer::sum);
     }
 
-    public LoadSummary add(LoadSummary o) {
-        return change(o, 1);
+    /** Adds another summary to this one, and returns this. */
+    public LoadSummary add(LoadSummary other) {
+        return change(other, 1);
     }
 
-    public LoadSummary less(LoadSummary o) {
-        return change(o, -1);
+    /** Takes off a summary that was added before, and returns this. */
+    public LoadSummary subtract(LoadSummary other) {
+        return change(other, -1);
     }
 
-    private LoadSummary change(LoadSummary o, int sign) {
-        o.loads.forEach(
-                (k, l) -> {
-                    var mine = loads.computeIfAbsent(k, x -> new Load());
-                    mine.add(l, sign);
-                    if (mine.nothing()) {
-                        loads.remove(k);
+    private LoadSummary change(LoadSummary other, int sign) {
+        other.loads.forEach(
+                (replica, load) -> {
+                    var sum = loads.computeIfAbsent(replica, key -> new ReplicaLoad());
+                    sum.add(load, sign);
+                    if (sum.isZero()) {
+                        loads.remove(replica);
                     }
                 });
-        o.flights.forEach(
-                (k, n) -> {
-                    if (flights.merge(k, sign * n, Integer::sum) == 0) {
-                        flights.remove(k);
+        other.inFlightByModel.forEach(
+                (model, count) -> {
+                    if (inFlightByModel.merge(model, sign * count, Integer::sum) == 0) {
+                        inFlightByModel.remove(model);
                     }
                 });
-        edges += sign * o.edges;
+        edgeCount += sign * other.edgeCount;
         return this;
     }
 
     /**
-     * The replicas that are doubted or of which some answers were bad, with that, who heard them,
-     * and nothing else.
+     * Only the replicas that some edge suspects or that failed some attempts, each without its
+     * attempts and tokens.
      */
-    public LoadSummary doubtful() {
-        var t = new LoadSummary();
+    public LoadSummary onlySuspected() {
+        var suspected = new LoadSummary();
         loads.forEach(
-                (k, l) -> {
-                    if (l.bad > 0 || l.doubts > 0) {
-                        var x = t.put(k, 0, 0, false);
-                        x.doubts = l.doubts;
-                        x.heard = l.heard;
-                        x.ok = l.ok;
-                        x.bad = l.bad;
+                (replica, load) -> {
+                    if (load.isSuspected()) {
+                        suspected.addReplica(replica, 0, 0, false).copyHealth(load);
                     }
                 });
-        return t;
+        return suspected;
     }
 
-    public RecordWriter write(RecordWriter o) {
-        o.i32(edges)
+    /** Writes the summary and returns the writer. */
+    public RecordWriter write(RecordWriter out) {
+        out.i32(edgeCount)
                 .list(
                         loads.entrySet(),
-                        (w, e) -> {
-                            var l = e.getValue();
-                            w.text(e.getKey())
-                                    .i32(l.inHand)
-                                    .i32(l.unread)
-                                    .u8(Math.min(255, l.doubts))
-                                    .u8(Math.min(255, l.heard))
-                                    .i16(l.ok)
-                                    .i16(l.bad);
-                        });
-        return o.list(flights.entrySet(), (w, e) -> w.text(e.getKey()).i32(e.getValue()));
+                        (writer, entry) -> entry.getValue().write(writer.text(entry.getKey())));
+        return out.list(
+                inFlightByModel.entrySet(),
+                (writer, entry) -> writer.text(entry.getKey()).i32(entry.getValue()));
     }
 
+    /** Reads what {@link #write} wrote. */
     public static LoadSummary read(RecordReader in) {
-        var t = new LoadSummary();
-        t.edges = in.i32();
+        var summary = new LoadSummary();
+        summary.edgeCount = in.i32();
         in.list(
-                x -> {
-                    var l = t.loads.computeIfAbsent(x.text(), k -> new Load());
-                    l.inHand = x.i32();
-                    l.unread = x.i32();
-                    l.doubts = x.u8();
-                    l.heard = x.u8();
-                    l.ok = x.i16();
-                    l.bad = x.i16();
-                    return l;
+                reader -> {
+                    var load =
+                            summary.loads.computeIfAbsent(reader.text(), key -> new ReplicaLoad());
+                    load.read(reader);
+                    return load;
                 });
-        in.list(x -> t.flights.put(x.text(), x.i32()));
-        return t;
+        in.list(reader -> summary.inFlightByModel.put(reader.text(), reader.i32()));
+        return summary;
     }
 }
--- a/common/src/main/java/martenloom/common/log/RingLog.java
+++ b/common/src/main/java/martenloom/common/log/RingLog.java
@@ -3,60 +3,76 @@
 import org.jboss.logging.Logger;
 
 /**
- * Logs stay in a ring in memory and are written out, through JBoss Logging, only when something
- * goes wrong. A note costs one array write; a spill prints what led up to the trouble and is itself
- * limited to one in two seconds.
+ * A log that keeps messages in a ring buffer in memory and writes them out, through JBoss Logging,
+ * only when an error occurs: an error prints the messages that led up to it, at most once in two
+ * seconds. A debug message costs one write to an array. Thread-safe.
  */
 public final class RingLog {
-    private static final Logger OUT = Logger.getLogger("martenloom");
-    private static final int SIZE = 512;
-    private static final long PAUSE_US = 2_000_000;
-    private static final String[] RING = new String[SIZE];
-    private static long next;
-    private static long lastSpill = -PAUSE_US;
-    private static long spilled;
+    /** With -Dmartenloom.chatty=true every message is also printed as it is made. */
+    public static final boolean ECHO = Boolean.getBoolean("martenloom.chatty");
+
+    private static final Logger LOGGER = Logger.getLogger("martenloom");
+    private static final int CAPACITY = 512;
+    private static final int MAX_CONTEXT = 40;
+    private static final long MIN_INTERVAL_US = 2_000_000;
+    private static final long US_PER_MS = 1000;
+    private static final long NS_PER_US = 1000;
+
+    /** The messages, each at its number modulo the capacity; guarded by the class. */
+    private static final String[] RING = new String[CAPACITY];
+
+    private static long nextNumber;
+    private static long lastErrorUs = -MIN_INTERVAL_US;
+
+    /** All messages before this number were printed with an earlier error. */
+    private static long printedBefore;
 
     private RingLog() {}
 
-    public static long nowUs() {
-        return System.nanoTime() / 1000;
+    private static long nowUs() {
+        return System.nanoTime() / NS_PER_US;
     }
 
-    /** With -Dmartenloom.chatty=true every note is also printed as it is made. */
-    public static final boolean CHATTY = Boolean.getBoolean("martenloom.chatty");
-
-    public static synchronized void note(String s) {
-        if (CHATTY) {
-            System.err.println(s);
+    /** Keeps a message in the ring only. */
+    public static synchronized void debug(String message) {
+        if (ECHO) {
+            System.err.println(message);
         }
-        RING[(int) (next++ % SIZE)] = nowUs() / 1000 + " " + s;
+        RING[(int) (nextNumber++ % CAPACITY)] = nowUs() / US_PER_MS + " " + message;
     }
 
-    public static synchronized void say(String s) {
-        note(s);
-        OUT.info(s);
+    /** Keeps a message in the ring and prints it. */
+    public static synchronized void info(String message) {
+        debug(message);
+        LOGGER.info(message);
     }
 
-    public static synchronized void wrong(String s) {
-        note("! " + s);
-        var t = nowUs();
-        if (t - lastSpill < PAUSE_US) {
+    /**
+     * Keeps the message of an error in the ring and, unless another was printed just before, prints
+     * it with the messages that led up to it.
+     */
+    public static synchronized void error(String message) {
+        debug("! " + message);
+        var now = nowUs();
+        if (now - lastErrorUs < MIN_INTERVAL_US) {
             return;
         }
-        lastSpill = t;
-        OUT.error(s);
-        var from = Math.max(Math.max(0, next - 40), spilled);
-        for (var i = from; i < next; i++) {
-            OUT.error("  " + RING[(int) (i % SIZE)]);
+        lastErrorUs = now;
+        LOGGER.error(message);
+        var first = Math.max(Math.max(0, nextNumber - MAX_CONTEXT), printedBefore);
+        for (var number = first; number < nextNumber; number++) {
+            LOGGER.error("  " + RING[(int) (number % CAPACITY)]);
         }
-        spilled = next;
+        printedBefore = nextNumber;
     }
 
-    public static synchronized String tail(int n) {
-        var b = new StringBuilder();
-        for (var i = Math.max(0, next - Math.min(n, SIZE)); i < next; i++) {
-            b.append(RING[(int) (i % SIZE)]).append('\n');
+    /** The last messages, a line each. */
+    public static synchronized String recent(int count) {
+        var lines = new StringBuilder();
+        var first = Math.max(0, nextNumber - Math.min(count, CAPACITY));
+        for (var number = first; number < nextNumber; number++) {
+            lines.append(RING[(int) (number % CAPACITY)]).append('\n');
         }
-        return b.toString();
+        return lines.toString();
     }
 }
--- a/common/src/main/java/martenloom/common/settings/Settings.java
+++ b/common/src/main/java/martenloom/common/settings/Settings.java
@@ -1,261 +1,178 @@
 package martenloom.common.settings;
 
-import com.electronwill.nightconfig.core.UnmodifiableConfig;
-import com.electronwill.nightconfig.toml.TomlParser;
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
-import martenloom.common.error.InvalidSettingsException;
-import martenloom.common.error.MartenloomException;
 
 /**
- * The settings of one daemon, read from the settings file and checked field by field; a fault names
- * the field and the reason in one line. Unknown fields are ignored. Nothing here is written back,
- * and a changed file gives a new value.
+ * The settings of one daemon, as {@link SettingsFile} has read and checked them. All are fixed for
+ * the run of the daemon apart from the seed nodes and the bounds, which {@link #adoptReloadable}
+ * replaces. Thread-safe.
  */
 public final class Settings {
-    public final String name;
-    public final String ip;
-    public final String zone;
-    public final String region;
-    public final int portLow;
-    public final int portHigh;
-    public volatile List<String> seeds;
-    public final boolean bootstrap;
-    public final boolean quorumMember;
-    public final String dataDir;
-    public final int beatMs;
-    public final Set<String> serves;
-    public final Map<String, String> zones;
-    public final Map<String, String> listen;
-    public final int maxFds;
-    public final int memoryMb;
-    public final int tolerateMachines;
-    public volatile Bounds bounds;
+    private static final int MAX_PORT = 65535;
+    private static final int DEFAULT_HEARTBEAT_INTERVAL_MS = 1000;
+    private static final int DEFAULT_FILE_DESCRIPTORS = 1024;
+    private static final int DEFAULT_MEMORY_MB = 256;
+
+    private final String nodeName;
+    private final String ipAddress;
+    private final String zone;
+    private final String region;
+    private final int firstInternalPort;
+    private final int lastInternalPort;
+    private volatile List<String> seedNodes;
+    private final boolean bootstrap;
+    private final boolean quorumMember;
+    private final String dataDirectory;
+    private final int heartbeatIntervalMs;
+    private final Set<String> servedRoles;
+    private final Map<String, String> regionByZone;
+    private final Map<String, String> listenAddresses;
+    private final int maxFileDescriptors;
+    private final int memoryMb;
+    private final int toleratedMachineFailures;
+    private volatile OperatingBounds bounds;
+
+    /** Checks field by field, in the order in which errors are to be reported. */
+    Settings(SettingsFields fields) {
+        nodeName = fields.requiredText("NodeName");
+        ipAddress = fields.requiredText("IpAddress");
+        zone = fields.requiredText("Zone");
+        region = fields.requiredText("Region");
+        var ports = fields.list("InternalPortRange");
+        if (ports.size() != 2
+                || !(ports.get(0) instanceof Number first)
+                || !(ports.get(1) instanceof Number last)) {
+            throw SettingsFields.invalid("InternalPortRange", "must be two port numbers");
+        }
+        firstInternalPort = first.intValue();
+        lastInternalPort = last.intValue();
+        if (firstInternalPort < 1
+                || lastInternalPort > MAX_PORT
+                || firstInternalPort > lastInternalPort) {
+            throw SettingsFields.invalid(
+                    "InternalPortRange", "must run from a lower to a higher port below 65536");
+        }
+        seedNodes = fields.texts("SeedNodes");
+        for (var seed : seedNodes) {
+            IpPort.parse("SeedNodes", seed);
+        }
+        bootstrap = fields.flag("Bootstrap", false);
+        quorumMember = fields.flag("QuorumMember", false);
+        dataDirectory = fields.text("DataDirectory", "");
+        heartbeatIntervalMs =
+                (int) fields.number("HeartbeatIntervalMs", DEFAULT_HEARTBEAT_INTERVAL_MS);
+        if (heartbeatIntervalMs < 1) {
+            throw SettingsFields.invalid("HeartbeatIntervalMs", "must be above 0");
+        }
+        servedRoles = Set.copyOf(fields.texts("Serves"));
+        regionByZone = fields.table("Zones");
+        listenAddresses = fields.table("ListenAddresses");
+        listenAddresses.forEach((name, value) -> IpPort.parse("ListenAddresses." + name, value));
+        maxFileDescriptors =
+                (int) fields.number("Limits.MaxFileDescriptors", DEFAULT_FILE_DESCRIPTORS);
+        memoryMb = (int) fields.number("Limits.MemoryMb", DEFAULT_MEMORY_MB);
+        toleratedMachineFailures = (int) fields.number("FaultTolerance.Machines", 1);
+        bounds = new OperatingBounds(fields);
+    }
 
-    /** The figures of the rules, as the settings file gives them. */
-    public static final class Bounds {
-        public final int contactMs;
-        public final int ackTimeoutMs;
-        public final int drainMs;
-        public final double graceS;
-        public final int configApplyMs;
-        public final double retryRatio;
-        public final double retryWindowS;
-        public final double retrySlack;
-        public final double warmOverage;
-        public final double warmSlack;
-        public final int evacuationMs;
-        public final double ttlMaxS;
+    /** Takes over what may change while a daemon runs: the seed nodes and the bounds. */
+    public void adoptReloadable(Settings reloaded) {
+        seedNodes = reloaded.seedNodes;
+        bounds = reloaded.bounds;
+    }
 
-        private Bounds(Reader r) {
-            contactMs = (int) r.num("Bounds.ContactMs", 4000);
-            ackTimeoutMs = (int) r.num("Bounds.AckTimeoutMs", 5000);
-            drainMs = (int) r.num("Bounds.DrainMs", 2500);
-            graceS = r.num("Bounds.GracePeriodS", 8);
-            configApplyMs = (int) r.num("Bounds.ConfigApplyMs", 2500);
-            retryRatio = r.num("Bounds.RetryBudgetRatio", 0.1);
-            retryWindowS = r.num("Bounds.RetryWindowS", 10);
-            retrySlack = r.num("Bounds.RetrySlack", 10);
-            warmOverage = r.num("Bounds.WarmupOverage", 1);
-            warmSlack = r.num("Bounds.WarmupSlack", 0);
-            evacuationMs = (int) r.num("Bounds.EvacuationMs", 5000);
-            ttlMaxS = r.num("Bounds.ttl_max_s", 5);
-        }
+    public String nodeName() {
+        return nodeName;
     }
 
-    private Settings(UnmodifiableConfig c) {
-        var r = new Reader(c);
-        name = r.word("NodeName");
-        ip = r.word("IpAddress");
-        zone = r.word("Zone");
-        region = r.word("Region");
-        var ports = r.list("InternalPortRange");
-        if (ports.size() != 2
-                || !(ports.get(0) instanceof Number)
-                || !(ports.get(1) instanceof Number)) {
-            throw r.bad("InternalPortRange", "must be two port numbers");
-        }
-        portLow = ((Number) ports.get(0)).intValue();
-        portHigh = ((Number) ports.get(1)).intValue();
-        if (portLow < 1 || portHigh > 65535 || portLow > portHigh) {
-            throw r.bad("InternalPortRange", "must run from a lower to a higher port below 65536");
-        }
-        seeds = r.words("SeedNodes");
-        for (var s : seeds) {
-            address("SeedNodes", s);
-        }
-        bootstrap = r.flag("Bootstrap", false);
-        quorumMember = r.flag("QuorumMember", false);
-        dataDir = r.maybe("DataDirectory", "");
-        beatMs = (int) r.num("HeartbeatIntervalMs", 1000);
-        if (beatMs < 1) {
-            throw r.bad("HeartbeatIntervalMs", "must be above 0");
-        }
-        serves = Set.copyOf(r.words("Serves"));
-        zones = r.table("Zones");
-        listen = r.table("ListenAddresses");
-        listen.forEach((k, v) -> address("ListenAddresses." + k, v));
-        maxFds = (int) r.num("Limits.MaxFileDescriptors", 1024);
-        memoryMb = (int) r.num("Limits.MemoryMb", 256);
-        tolerateMachines = (int) r.num("FaultTolerance.Machines", 1);
-        bounds = new Bounds(r);
+    public String ipAddress() {
+        return ipAddress;
     }
 
-    public static Settings load(String path) {
-        if (path.isBlank()) {
-            throw new InvalidSettingsException("read settings", "MARTENLOOM_NODE_FILE is not set");
-        }
-        String text;
-        try {
-            text = Files.readString(Path.of(path));
-        } catch (IOException e) {
-            throw new InvalidSettingsException(
-                    "read settings",
-                    path + " cannot be read (" + e.getClass().getSimpleName() + ")");
-        }
-        return parse(text);
+    public String zone() {
+        return zone;
     }
 
-    public static Settings parse(String text) {
-        UnmodifiableConfig c;
-        try {
-            c = new TomlParser().parse(text);
-        } catch (RuntimeException e) {
-            throw new InvalidSettingsException(
-                    "read settings", "not TOML: " + String.valueOf(e.getMessage()).split("\n")[0]);
-        }
-        return new Settings(c);
+    public String region() {
+        return region;
     }
 
-    /**
-     * Takes over from a newly read file what may change while a daemon runs: the seeds and the
-     * bounds.
-     */
-    public void adopt(Settings p) {
-        seeds = p.seeds;
-        bounds = p.bounds;
+    /** The port on which other daemons connect; the first of the internal range. */
+    public int firstInternalPort() {
+        return firstInternalPort;
     }
 
-    public String need(String k) {
-        var v = listen.getOrDefault(k, "");
-        if (v.isEmpty()) {
-            throw new InvalidSettingsException(
-                    "check settings", "ListenAddresses." + k + ": missing, and this role needs it");
-        }
-        return v;
+    public int lastInternalPort() {
+        return lastInternalPort;
     }
 
-    public String regionOf(String zone) {
-        return zones.getOrDefault(zone, "");
+    /** Core daemons to contact first, each as IP:PORT. */
+    public List<String> seedNodes() {
+        return seedNodes;
     }
 
-    public static java.net.InetSocketAddress address(String field, String s) {
-        var i = s.lastIndexOf(':');
-        try {
-            if (i > 0) {
-                var parts = s.substring(0, i).split("\\.");
-                if (parts.length == 4) {
-                    var b = new byte[4];
-                    for (var k = 0; k < 4; k++) {
-                        b[k] = (byte) Integer.parseInt(parts[k]);
-                    }
-                    return new java.net.InetSocketAddress(
-                            java.net.InetAddress.getByAddress(b),
-                            Integer.parseInt(s.substring(i + 1)));
-                }
-            }
-        } catch (IOException | IllegalArgumentException e) {
-            throw new InvalidSettingsException(
-                    "check settings", field + ": '" + s + "' is not IP:PORT");
-        }
-        throw new InvalidSettingsException(
-                "check settings", field + ": '" + s + "' is not IP:PORT");
+    /** Whether this daemon may found a new cluster. */
+    public boolean bootstrap() {
+        return bootstrap;
     }
 
-    private static final class Reader {
-        private final UnmodifiableConfig c;
+    public boolean quorumMember() {
+        return quorumMember;
+    }
 
-        private Reader(UnmodifiableConfig c) {
-            this.c = c;
-        }
+    public String dataDirectory() {
+        return dataDirectory;
+    }
 
-        private Optional<Object> at(String k) {
-            return Optional.ofNullable(c.get(k));
-        }
+    /** The interval between the heartbeats of a replica. */
+    public int heartbeatIntervalMs() {
+        return heartbeatIntervalMs;
+    }
 
-        private MartenloomException bad(String k, String why) {
-            return new InvalidSettingsException("check settings", k + ": " + why);
-        }
+    /** What this daemon serves. */
+    public Set<String> servedRoles() {
+        return servedRoles;
+    }
 
-        private String word(String k) {
-            var v = at(k).orElseThrow(() -> bad(k, "missing"));
-            if (v instanceof String s && !s.isBlank()) {
-                return s;
-            }
-            throw bad(k, "must be a non-empty string");
-        }
+    public Map<String, String> regionByZone() {
+        return regionByZone;
+    }
 
-        private String maybe(String k, String d) {
-            return at(k).map(v -> word(k)).orElse(d);
-        }
+    /** Where to listen, as IP:PORT by the name of the interface. */
+    public Map<String, String> listenAddresses() {
+        return listenAddresses;
+    }
 
-        private boolean flag(String k, boolean d) {
-            var v = at(k).orElse(d);
-            if (v instanceof Boolean b) {
-                return b;
-            }
-            throw bad(k, "must be true or false");
-        }
+    public int maxFileDescriptors() {
+        return maxFileDescriptors;
+    }
 
-        private double num(String k, double d) {
-            var v = at(k).orElse(d);
-            if (v instanceof Number n && n.doubleValue() >= 0) {
-                return n.doubleValue();
-            }
-            throw bad(k, "must be a number, 0 or more");
-        }
+    public int memoryMb() {
+        return memoryMb;
+    }
 
-        private List<?> list(String k) {
-            var v = at(k).orElseThrow(() -> bad(k, "missing"));
-            if (v instanceof List<?> l) {
-                return l;
-            }
-            throw bad(k, "must be a list");
-        }
+    public int toleratedMachineFailures() {
+        return toleratedMachineFailures;
+    }
 
-        private List<String> words(String k) {
-            var out = new ArrayList<String>();
-            for (var o : list(k)) {
-                if (!(o instanceof String s)) {
-                    throw bad(k, "must be a list of strings");
-                }
-                out.add(s);
-            }
-            return out;
-        }
+    public OperatingBounds bounds() {
+        return bounds;
+    }
 
-        private Map<String, String> table(String k) {
-            var out = new LinkedHashMap<String, String>();
-            var v = at(k).orElseThrow(() -> bad(k, "missing"));
-            if (!(v instanceof UnmodifiableConfig t)) {
-                throw bad(k, "must be a table");
-            }
-            t.valueMap()
-                    .forEach(
-                            (n, o) -> {
-                                if (!(o instanceof String s)) {
-                                    throw bad(k + "." + n, "must be a string");
-                                }
-                                out.put(n, s);
-                            });
-            return out;
+    /** The IP:PORT of an interface that the role of this daemon cannot do without. */
+    public String requiredListenAddress(String name) {
+        var address = listenAddresses.getOrDefault(name, "");
+        if (address.isEmpty()) {
+            throw SettingsFields.invalid(
+                    "ListenAddresses." + name, "missing, and this role needs it");
         }
+        return address;
+    }
+
+    /** The region of a zone; empty when the zone is unknown. */
+    public String regionOf(String zoneName) {
+        return regionByZone.getOrDefault(zoneName, "");
     }
 }
--- a/common/src/main/java/martenloom/common/socket/SocketReader.java
+++ b/common/src/main/java/martenloom/common/socket/SocketReader.java
@@ -4,69 +4,55 @@
 import io.activej.net.socket.tcp.ITcpSocket;
 
 /**
- * Keeps one read open on a socket for as long as its owner wants more, and gives the bytes on.
- * Reads that are already complete are taken in a loop, so that a fast sender does not deepen the
- * stack.
+ * Keeps one read open on a socket for as long as its handler wants more, and gives the bytes on.
+ * Reads that complete at once are taken in a loop, so that a fast sender does not deepen the stack.
+ * Runs on the reactor thread.
  */
 public final class SocketReader {
-    /** Receives what was read; called on the thread of the reactor. */
-    public interface Owner {
-        boolean wants();
-
-        /** Takes bytes; the buffer is given back by the pump. */
-        void take(ByteBuf b);
-
-        /** The other side has closed its half of the connection in order. */
-        void ended();
-
-        /** The connection was reset or failed in another way. */
-        default void broke() {
-            ended();
-        }
-    }
-
-    private final ITcpSocket sock;
-    private final Owner owner;
+    private final ITcpSocket socket;
+    private final SocketReadHandler handler;
     private boolean reading;
 
-    public SocketReader(ITcpSocket s, Owner o) {
-        sock = s;
-        owner = o;
+    public SocketReader(ITcpSocket socket, SocketReadHandler handler) {
+        this.socket = socket;
+        this.handler = handler;
     }
 
-    public void go() {
-        while (!reading && owner.wants()) {
-            var p = sock.read();
-            if (!p.isComplete()) {
+    /** Reads until the handler wants no more; does nothing while a read is open. */
+    public void readWhileWanted() {
+        while (!reading && handler.wantsMore()) {
+            var read = socket.read();
+            if (!read.isComplete()) {
                 reading = true;
-                p.subscribe(
-                        (b, e) -> {
+                read.subscribe(
+                        (bytes, error) -> {
                             reading = false;
-                            if (e == null) {
-                                got(b);
+                            if (error == null) {
+                                deliver(bytes);
                             } else {
-                                owner.broke();
+                                handler.onError();
                             }
-                            go();
+                            readWhileWanted();
                         });
                 return;
             }
-            if (p.isException()) {
-                owner.broke();
+            if (read.isException()) {
+                handler.onError();
                 return;
             }
-            got(p.getResult());
+            deliver(read.getResult());
         }
     }
 
-    private void got(ByteBuf b) {
-        if (b == null) {
-            owner.ended();
+    /** Gives on what was read; ActiveJ hands over null at the end of the stream. */
+    private void deliver(ByteBuf bytes) {
+        if (bytes == null) {
+            handler.onEnd();
             return;
         }
-        if (owner.wants()) {
-            owner.take(b);
+        if (handler.wantsMore()) {
+            handler.onBytes(bytes);
         }
-        b.recycle();
+        bytes.recycle();
     }
 }
--- a/common/src/test/java/martenloom/common/codec/CodecGoldenTest.java
+++ b/common/src/test/java/martenloom/common/codec/CodecGoldenTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import martenloom.common.error.MartenloomException;
 import martenloom.common.golden.GoldenBytes;
-import martenloom.common.link.PendingRequests;
+import martenloom.common.link.RequestId;
 import org.junit.jupiter.api.Test;
 
 /** The recorded bytes of every kind of field, and the faults of torn records. */
@@ -38,7 +38,7 @@
 
     private static byte[] requestId() {
         var out = new RecordWriter();
-        new PendingRequests.RequestId(-7, 8).write(out);
+        new RequestId(-7, 8).write(out);
         return out.bytes();
     }
 
@@ -71,9 +71,8 @@
         assertEquals(9, in.u8());
         assertEquals(List.of("one", ""), in.texts());
         assertEquals(List.of(5, 6), in.list(RecordReader::i32));
-        var id =
-                PendingRequests.RequestId.read(new RecordReader(golden.bytes("request-id"), false));
-        assertEquals(new PendingRequests.RequestId(-7, 8), id);
+        var id = RequestId.read(new RecordReader(golden.bytes("request-id"), false));
+        assertEquals(new RequestId(-7, 8), id);
     }
 
     @Test
--- a/common/src/test/java/martenloom/common/fleet/FleetRecordsGoldenTest.java
+++ b/common/src/test/java/martenloom/common/fleet/FleetRecordsGoldenTest.java
@@ -20,49 +20,49 @@
 
     private static ReplicaRecord warmReplica() {
         var replica = new ReplicaRecord();
-        replica.id = "replica-1";
-        replica.service = "chat";
-        replica.address = "10.9.3.10:9000";
-        replica.zone = "north-a";
-        replica.capacity = 8;
-        replica.seq = 77;
-        replica.warmAtUs = NOW_US;
-        replica.heardUs = NOW_US - 120_000;
+        replica.setId("replica-1");
+        replica.setService("chat");
+        replica.setAddress("10.9.3.10:9000");
+        replica.setZone("north-a");
+        replica.setCapacity(8);
+        replica.setSequence(77);
+        replica.setWarmFromUs(NOW_US);
+        replica.setLastHeartbeatUs(NOW_US - 120_000);
         return replica;
     }
 
     private static ReplicaRecord endingReplica() {
         var replica = warmReplica();
-        replica.id = "réplica-2";
-        replica.draining = true;
-        replica.gone = true;
-        replica.silent = true;
-        replica.warmAtUs = NOW_US + 1_500_000;
-        replica.leavesAtUs = NOW_US + 9_000_000;
-        replica.heardUs = NOW_US - 4_000_000;
+        replica.setId("réplica-2");
+        replica.setDraining(true);
+        replica.setEnded(true);
+        replica.setUnreachable(true);
+        replica.setWarmFromUs(NOW_US + 1_500_000);
+        replica.setDrainDeadlineUs(NOW_US + 9_000_000);
+        replica.setLastHeartbeatUs(NOW_US - 4_000_000);
         return replica;
     }
 
     private static EdgeRecord readyEdge() {
         var edge = new EdgeRecord();
-        edge.ip = "10.9.2.10";
-        edge.name = "edge-north-1";
-        edge.zone = "north-a";
-        edge.region = "north";
-        edge.front = "10.9.2.10:8000";
-        edge.ready = true;
-        edge.life = 0x1122334455667788L;
-        edge.seq = 5;
-        edge.revision = 12;
-        edge.heardUs = NOW_US - 400_000;
+        edge.setIp("10.9.2.10");
+        edge.setName("edge-north-1");
+        edge.setZone("north-a");
+        edge.setRegion("north");
+        edge.setFrontendAddress("10.9.2.10:8000");
+        edge.setReady(true);
+        edge.setIncarnation(0x1122334455667788L);
+        edge.setSequence(5);
+        edge.setConfigurationRevision(12);
+        edge.setLastRenewalUs(NOW_US - 400_000);
         return edge;
     }
 
     private static EdgeRecord leavingEdge() {
         var edge = readyEdge();
-        edge.ready = false;
-        edge.leaving = true;
-        edge.life = -2;
+        edge.setReady(false);
+        edge.setDraining(true);
+        edge.setIncarnation(-2);
         return edge;
     }
 
@@ -109,17 +109,17 @@
             golden.check(name, encoded(replica(name)));
         }
         var ending = replica("replica.ending");
-        assertEquals("réplica-2", ending.id);
-        assertEquals("chat", ending.service);
-        assertEquals("10.9.3.10:9000", ending.address);
-        assertEquals("north-a", ending.zone);
-        assertEquals(8, ending.capacity);
-        assertEquals(77, ending.seq);
-        assertTrue(ending.draining && ending.gone && ending.silent);
-        assertEquals(NOW_US + 1_500_000, ending.warmAtUs);
-        assertEquals(NOW_US + 9_000_000, ending.leavesAtUs);
-        assertEquals(NOW_US - 4_000_000, ending.heardUs);
-        assertEquals(Long.MAX_VALUE, replica("replica.warm").leavesAtUs);
+        assertEquals("réplica-2", ending.id());
+        assertEquals("chat", ending.service());
+        assertEquals("10.9.3.10:9000", ending.address());
+        assertEquals("north-a", ending.zone());
+        assertEquals(8, ending.capacity());
+        assertEquals(77, ending.sequence());
+        assertTrue(ending.draining() && ending.ended() && ending.unreachable());
+        assertEquals(NOW_US + 1_500_000, ending.warmFromUs());
+        assertEquals(NOW_US + 9_000_000, ending.drainDeadlineUs());
+        assertEquals(NOW_US - 4_000_000, ending.lastHeartbeatUs());
+        assertEquals(Long.MAX_VALUE, replica("replica.warm").drainDeadlineUs());
     }
 
     @Test
@@ -133,15 +133,15 @@
         golden.check("edge.ready", encoded(edge("edge.ready")));
         golden.check("edge.leaving", encoded(edge("edge.leaving")));
         var leaving = edge("edge.leaving");
-        assertFalse(leaving.ready);
-        assertTrue(leaving.leaving);
-        assertEquals("10.9.2.10", leaving.ip);
-        assertEquals("edge-north-1", leaving.name);
-        assertEquals("10.9.2.10:8000", leaving.front);
-        assertEquals(-2, leaving.life);
-        assertEquals(5, leaving.seq);
-        assertEquals(12, leaving.revision);
-        assertEquals(NOW_US - 400_000, leaving.heardUs);
+        assertFalse(leaving.ready());
+        assertTrue(leaving.draining());
+        assertEquals("10.9.2.10", leaving.ip());
+        assertEquals("edge-north-1", leaving.name());
+        assertEquals("10.9.2.10:8000", leaving.frontendAddress());
+        assertEquals(-2, leaving.incarnation());
+        assertEquals(5, leaving.sequence());
+        assertEquals(12, leaving.configurationRevision());
+        assertEquals(NOW_US - 400_000, leaving.lastRenewalUs());
     }
 
     /** Digests are compared between daemons, and ranges must be the same at all of them. */
--- a/common/src/test/java/martenloom/common/jobs/JobGoldenTest.java
+++ b/common/src/test/java/martenloom/common/jobs/JobGoldenTest.java
@@ -23,45 +23,46 @@
 
     private static Job waitingJob() {
         var job = new Job();
-        job.id = "job-1";
-        job.region = "north";
-        job.method = "POST";
-        job.host = "cluster.example";
-        job.path = "/chat/long?depth=2";
-        job.fields = List.of("Content-Type: text/plain", "X-Prompt-Prefix: shared-part:400");
-        job.body = utf8("summarise this");
-        job.digest = "00ff";
-        job.repeatable = true;
-        job.submittedUs = 1_000_000;
-        job.dueUs = 61_000_000;
+        job.setId("job-1");
+        job.setRegion("north");
+        job.setMethod("POST");
+        job.setHost("cluster.example");
+        job.setPath("/chat/long?depth=2");
+        job.setHeaderFields(
+                List.of("Content-Type: text/plain", "X-Prompt-Prefix: shared-part:400"));
+        job.setBody(utf8("summarise this"));
+        job.setDigest("00ff");
+        job.setRetriable(true);
+        job.setSubmittedUs(1_000_000);
+        job.setDeadlineUs(61_000_000);
         return job;
     }
 
-    private static Job endedJob(Job.State state) {
+    private static Job endedJob(JobState state) {
         var job = waitingJob();
-        job.repeatable = false;
-        job.resumable = true;
-        job.state = state;
-        job.fence = 9;
-        job.runs = 3;
-        job.lastEvent = "event-17";
-        job.kept = utf8("kept ");
-        job.status = 200;
-        job.result = utf8("the result");
-        job.confirmed = true;
-        job.endedUs = 44_000_000;
-        job.why = "a \"quoted\" reason\nof two lines";
+        job.setRetriable(false);
+        job.setResumable(true);
+        job.setState(state);
+        job.setFencingToken(9);
+        job.setAttempts(3);
+        job.setLastEventId("event-17");
+        job.setCheckpoint(utf8("kept "));
+        job.setStatus(200);
+        job.setResult(utf8("the result"));
+        job.setConfirmed(true);
+        job.setEndedUs(44_000_000);
+        job.setReason("a \"quoted\" reason\nof two lines");
         return job;
     }
 
     private static byte[] encoded(Job job) {
         var out = new RecordWriter();
-        job.write(out);
+        JobCodec.write(job, out);
         return out.bytes();
     }
 
     private Job decoded(String name) {
-        return Job.read(new RecordReader(golden.bytes(name), false));
+        return JobCodec.read(new RecordReader(golden.bytes(name), false));
     }
 
     // ---- the checks
@@ -70,30 +71,30 @@
     void jobsAreEncodedAsRecorded() {
         golden.check("default", encoded(new Job()));
         golden.check("waiting", encoded(waitingJob()));
-        for (var state : Job.State.values()) {
-            golden.check("state." + state.word(), encoded(endedJob(state)));
+        for (var state : JobState.values()) {
+            golden.check("state." + state.label(), encoded(endedJob(state)));
         }
-        golden.check("json.waiting", utf8(waitingJob().json(2_500_000)));
-        golden.check("json.done", utf8(endedJob(Job.State.DONE).json(2_500_000)));
+        golden.check("json.waiting", utf8(JobJson.render(waitingJob(), 2_500_000)));
+        golden.check("json.done", utf8(JobJson.render(endedJob(JobState.DONE), 2_500_000)));
     }
 
     @Test
     void recordedJobsAreDecodedAndEncodedAgain() {
         golden.check("default", encoded(decoded("default")));
         golden.check("waiting", encoded(decoded("waiting")));
-        for (var state : Job.State.values()) {
-            golden.check("state." + state.word(), encoded(decoded("state." + state.word())));
-            assertEquals(state, decoded("state." + state.word()).state);
+        for (var state : JobState.values()) {
+            golden.check("state." + state.label(), encoded(decoded("state." + state.label())));
+            assertEquals(state, decoded("state." + state.label()).state());
         }
         var job = decoded("state.done");
-        assertEquals("job-1", job.id);
-        assertEquals(2, job.fields.size());
-        assertEquals("shared-part", job.prefix());
-        assertArrayEquals(utf8("summarise this"), job.body);
-        assertTrue(job.resumable && job.confirmed && !job.repeatable);
-        assertEquals(9, job.fence);
-        assertEquals(61_000_000, job.dueUs);
-        assertArrayEquals(utf8("the result"), job.result);
+        assertEquals("job-1", job.id());
+        assertEquals(2, job.headerFields().size());
+        assertEquals("shared-part", job.promptPrefix());
+        assertArrayEquals(utf8("summarise this"), job.body());
+        assertTrue(job.resumable() && job.confirmed() && !job.retriable());
+        assertEquals(9, job.fencingToken());
+        assertEquals(61_000_000, job.deadlineUs());
+        assertArrayEquals(utf8("the result"), job.result());
         golden.check("state.done", encoded(job.copy()));
     }
 }
--- a/common/src/test/java/martenloom/common/link/PeerLinksGoldenTest.java
+++ b/common/src/test/java/martenloom/common/link/PeerLinksGoldenTest.java
@@ -23,16 +23,16 @@
     private final GoldenBytes golden = new GoldenBytes("link-frames.txt");
 
     /** Puts what arrives, and an empty array for the end of a link, into a queue. */
-    private static final class Arrivals implements PeerLinks.Handler {
+    private static final class Arrivals implements PeerLinkHandler {
         final LinkedBlockingQueue<byte[]> records = new LinkedBlockingQueue<>();
 
         @Override
-        public void onRecord(PeerLinks.Link link, byte[] record) {
+        public void onRecord(PeerLink link, byte[] record) {
             records.add(record);
         }
 
         @Override
-        public void onClosed(PeerLinks.Link link) {
+        public void onClosed(PeerLink link) {
             records.add(new byte[0]);
         }
 
@@ -48,7 +48,7 @@
         var arrivals = new Arrivals();
         try (var server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(10_000);
-            var dial = new CompletableFuture<PeerLinks.Dial>();
+            var dial = new CompletableFuture<OutgoingPeerLink>();
             loop.execute(() -> dial.complete(dial(loop, server, arrivals)));
             var thread = new Thread(loop::run, "frames");
             thread.setDaemon(true);
@@ -78,9 +78,9 @@
         }
     }
 
-    private static PeerLinks.Dial dial(
+    private static OutgoingPeerLink dial(
             io.activej.eventloop.Eventloop loop, ServerSocket server, Arrivals arrivals) {
-        return new PeerLinks.Dial(
+        return new OutgoingPeerLink(
                 loop,
                 new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
                 200_000,
--- a/common/src/test/java/martenloom/common/link/PendingRequestsTest.java
+++ b/common/src/test/java/martenloom/common/link/PendingRequestsTest.java
@@ -14,39 +14,40 @@
     private final PendingRequests<Object> requests = new PendingRequests<>(7);
     private final Object link = new Object();
 
-    private PendingRequests.RequestId ask(String caller) {
-        return requests.open(link, (status, text) -> told.add(caller + " " + status + " " + text));
+    private RequestId ask(String caller) {
+        return requests.register(
+                link, (status, text) -> told.add(caller + " " + status + " " + text));
     }
 
     @Test
     void anAnswerToAFormerLifeIsDropped() {
-        var former = new PendingRequests<Object>(6).open(link, (status, text) -> {});
+        var former = new PendingRequests<Object>(6).register(link, (status, text) -> {});
         var id = ask("a");
         assertEquals(former.number(), id.number(), "both lives count alike");
-        assertFalse(requests.answered(former, link, 200, "of the former life"));
+        assertFalse(requests.complete(former, link, 200, "of the former life"));
         assertEquals(List.of(), told);
-        assertTrue(requests.answered(id, link, 200, "mine"));
+        assertTrue(requests.complete(id, link, 200, "mine"));
         assertEquals(List.of("a 200 mine"), told);
     }
 
     @Test
     void anAnswerFromAnotherChannelIsDroppedAndTheCallerToldWhenItExpires() {
         var id = ask("a");
-        assertFalse(requests.answered(id, new Object(), 200, "from a stranger"));
+        assertFalse(requests.complete(id, new Object(), 200, "from a stranger"));
         requests.expire(id, "no answer");
         requests.expire(id, "no answer");
-        assertFalse(requests.answered(id, link, 200, "too late"));
+        assertFalse(requests.complete(id, link, 200, "too late"));
         assertEquals(List.of("a 503 no answer"), told);
     }
 
     @Test
     void aClosedChannelTellsItsCallersOnceAndLeavesOthersAlone() {
         ask("a");
-        var other = requests.open("other", (status, text) -> told.add("b " + status));
-        requests.closed(link, "closed");
-        requests.closed(link, "closed");
+        var other = requests.register("other", (status, text) -> told.add("b " + status));
+        requests.channelClosed(link, "closed");
+        requests.channelClosed(link, "closed");
         assertEquals(List.of("a 503 closed"), told);
-        assertTrue(requests.answered(other, "other", 200, ""));
+        assertTrue(requests.complete(other, "other", 200, ""));
         assertEquals(0, requests.size());
     }
 }
--- a/common/src/test/java/martenloom/common/link/TransitDelayTest.java
+++ b/common/src/test/java/martenloom/common/link/TransitDelayTest.java
@@ -10,9 +10,12 @@
     void aRecordHeldUpInACutLinkShowsItsAge() {
         var delay = new TransitDelay();
         assertEquals(
-                0, delay.measure(1_000, 901_000), "the clocks differ by 0.9 s, which is no delay");
-        assertEquals(500, delay.measure(2_000, 902_500));
-        assertEquals(20_000_000, delay.measure(3_000, 20_903_000));
-        assertEquals(0, delay.measure(20_100_000, 20_999_000), "a quicker one is the new measure");
+                0,
+                delay.excessDelayUs(1_000, 901_000),
+                "the clocks differ by 0.9 s, which is no delay");
+        assertEquals(500, delay.excessDelayUs(2_000, 902_500));
+        assertEquals(20_000_000, delay.excessDelayUs(3_000, 20_903_000));
+        assertEquals(
+                0, delay.excessDelayUs(20_100_000, 20_999_000), "a quicker one is the new measure");
     }
 }
--- a/common/src/test/java/martenloom/common/load/LoadSummaryGoldenTest.java
+++ b/common/src/test/java/martenloom/common/load/LoadSummaryGoldenTest.java
@@ -16,25 +16,25 @@
 
     private static LoadSummary partOfAnEdge() {
         var part = LoadSummary.ofEdge();
-        var load = part.put("replica-1", 7, 1200, true);
-        load.heard = 1;
-        load.ok = 40;
-        load.bad = 3;
-        part.put("replica-2", 2, 0, false);
-        part.fly("north/chat");
-        part.fly("north/chat");
-        part.fly("south/chat");
+        var load = part.addReplica("replica-1", 7, 1200, true);
+        load.setHearingEdges(1);
+        load.setSuccesses(40);
+        load.setFailures(3);
+        part.addReplica("replica-2", 2, 0, false);
+        part.addInFlight("north/chat");
+        part.addInFlight("north/chat");
+        part.addInFlight("south/chat");
         return part;
     }
 
     /** Counts beyond what a byte or sixteen bits hold are cut to the most that they hold. */
     private static LoadSummary beyondTheWidths() {
         var sum = new LoadSummary();
-        var load = sum.put("replica-1", Integer.MAX_VALUE, -5, false);
-        load.doubts = 300;
-        load.heard = 256;
-        load.ok = 40_000;
-        load.bad = -1;
+        var load = sum.addReplica("replica-1", Integer.MAX_VALUE, -5, false);
+        load.setSuspectingEdges(300);
+        load.setHearingEdges(256);
+        load.setSuccesses(40_000);
+        load.setFailures(-1);
         return sum;
     }
 
@@ -57,8 +57,8 @@
         golden.check("edge-part", encoded(partOfAnEdge()));
         golden.check("beyond-widths", encoded(beyondTheWidths()));
         golden.check("sum-of-two", encoded(sumOfTwo()));
-        golden.check("one-taken-away", encoded(sumOfTwo().less(partOfAnEdge())));
-        golden.check("doubtful", encoded(sumOfTwo().doubtful()));
+        golden.check("one-taken-away", encoded(sumOfTwo().subtract(partOfAnEdge())));
+        golden.check("doubtful", encoded(sumOfTwo().onlySuspected()));
         golden.check("empty", encoded(new LoadSummary()));
     }
 
@@ -76,19 +76,19 @@
             golden.check(name, encoded(decoded(name)));
         }
         var sum = decoded("sum-of-two");
-        assertEquals(2, sum.edges());
-        assertEquals(Map.of("north/chat", 4, "south/chat", 2), sum.flights());
-        var load = sum.load("replica-1");
-        assertEquals(14, load.inHand);
-        assertEquals(2400, load.unread);
-        assertEquals(2, load.doubts);
-        assertEquals(2, load.heard);
-        assertEquals(80, load.ok);
-        assertEquals(6, load.bad);
-        var cut = decoded("beyond-widths").load("replica-1");
-        assertEquals(255, cut.doubts);
-        assertEquals(255, cut.heard);
-        assertEquals(32_767, cut.ok);
-        assertEquals(0, cut.bad);
+        assertEquals(2, sum.edgeCount());
+        assertEquals(Map.of("north/chat", 4, "south/chat", 2), sum.inFlightByModel());
+        var load = sum.replicaLoad("replica-1");
+        assertEquals(14, load.inFlight());
+        assertEquals(2400, load.pendingPrefillTokens());
+        assertEquals(2, load.suspectingEdges());
+        assertEquals(2, load.hearingEdges());
+        assertEquals(80, load.successes());
+        assertEquals(6, load.failures());
+        var cut = decoded("beyond-widths").replicaLoad("replica-1");
+        assertEquals(255, cut.suspectingEdges());
+        assertEquals(255, cut.hearingEdges());
+        assertEquals(32_767, cut.successes());
+        assertEquals(0, cut.failures());
     }
 }
--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -16,8 +16,11 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.core.admin.ShellQueries;
 import martenloom.core.api.ControlApi;
@@ -50,7 +53,7 @@
  * commands are carried out here and nowhere else. Runs on the reactor thread, but for {@link
  * #leave}.
  */
-public final class CoreDaemon implements PeerLinks.Handler {
+public final class CoreDaemon implements PeerLinkHandler {
     private static final long TICK_US = 50_000;
     private static final long FLOOD_US = 100_000;
     private static final long DIGEST_US = 500_000;
@@ -94,13 +97,13 @@
         store = new VersionedStore(folder);
         var kept = store.load();
         chain = chain(kept.map(ChainMember.MemberState::of));
-        registry = new Registry(settings.beatMs * 1000L);
+        registry = new Registry(settings.heartbeatIntervalMs() * 1000L);
         memory = new RegistryCheckpoint(settings, store, registry);
         peers = new CorePeerLinks(loop, settings, chain, memory, this);
         orders = new CommandForwarder(loop, settings, chain, peers, peerRequests, this::carryOut);
         leave = new GracefulShutdown(loop, settings, chain, orders::submit, orders::owesAnswers);
         placement = new PlacementService(settings, chain, registry, routes::of);
-        chain.onSurvey(() -> placement.now().text());
+        chain.onSurvey(() -> placement.now().encode());
         duties = new RoleLeaseService(chain, orders::submitLocally, Clocks::nowUs);
         dutyRelay = new LeaseRelay(chain, duties, peers, homes);
         jobClock = new JobClockUpdater(chain, orders);
@@ -109,7 +112,7 @@
                         loop, settings, chain, registry, peers, peerRequests, homes);
         loads = new LoadPublisher(settings, peers, homes);
         configurations = new ConfigurationPublisher(chain, homes);
-        var firstStart = kept.isEmpty() && settings.bootstrap;
+        var firstStart = kept.isEmpty() && settings.bootstrap();
         coldSends =
                 new WarmupPermitLender(
                         settings, chain, registry, routes, memory, peers, homes, firstStart);
@@ -126,24 +129,24 @@
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
     private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
         var disk = onDisk;
-        if (disk.isEmpty() && !store.damaged() && settings.bootstrap && founder()) {
+        if (disk.isEmpty() && !store.damaged() && settings.bootstrap() && founder()) {
             disk = Optional.of(founded());
             store.keep(disk.get().bytes());
         }
-        RingLog.note(
+        RingLog.debug(
                 "core "
-                        + settings.name
+                        + settings.nodeName()
                         + " starts, disk "
                         + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
         var life = new SecureRandom().nextLong();
-        var core = new ChainMember(settings.ip, life, disk, nearness(), Clocks.nowUs());
+        var core = new ChainMember(settings.ipAddress(), life, disk, nearness(), Clocks.nowUs());
         core.onAway(store.awayUs());
-        core.onLeastRoster(2 * Math.max(1, settings.tolerateMachines) + 1);
+        core.onLeastRoster(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
         return core;
     }
 
     private boolean founder() {
-        return CorePeerLinks.seedIps(settings).contains(settings.ip);
+        return CorePeerLinks.seedIps(settings).contains(settings.ipAddress());
     }
 
     private ChainMember.MemberState founded() {
@@ -158,7 +161,7 @@
      * seldom as it can.
      */
     private Comparator<String> nearness() {
-        var network = settings.ip.substring(0, settings.ip.lastIndexOf('.') + 1);
+        var network = settings.ipAddress().substring(0, settings.ipAddress().lastIndexOf('.') + 1);
         return Comparator.<String, Boolean>comparing(member -> !member.startsWith(network))
                 .thenComparing(member -> member);
     }
@@ -166,7 +169,8 @@
     public void start() throws IOException {
         PeerLinks.listen(
                 loop,
-                new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
+                new InetSocketAddress(
+                        InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
         listenForCallers();
         peers.dialAll(chain.memberState().state.roster);
@@ -175,7 +179,11 @@
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
         Clocks.every(loop, DIGEST_US, this::mend);
         Clocks.every(loop, SUM_US, loads::exchange);
-        RingLog.say("core " + settings.name + " ready at " + settings.need("ControlPlane"));
+        RingLog.info(
+                "core "
+                        + settings.nodeName()
+                        + " ready at "
+                        + settings.requiredListenAddress("ControlPlane"));
     }
 
     private void listenForCallers() throws IOException {
@@ -192,9 +200,9 @@
                         peers::regionOutside,
                         orders::inTouch);
         var addresses = new LinkedHashSet<InetSocketAddress>();
-        addresses.add(Settings.address("ControlPlane", settings.need("ControlPlane")));
-        if (settings.listen.containsKey("Directory")) {
-            addresses.add(Settings.address("Directory", settings.need("Directory")));
+        addresses.add(IpPort.parse("ControlPlane", settings.requiredListenAddress("ControlPlane")));
+        if (settings.listenAddresses().containsKey("Directory")) {
+            addresses.add(IpPort.parse("Directory", settings.requiredListenAddress("Directory")));
         }
         HttpServer.builder(
                         loop,
@@ -210,7 +218,7 @@
     }
 
     public void stop() {
-        RingLog.note("core stops");
+        RingLog.debug("core stops");
         peers.stop();
     }
 
@@ -300,7 +308,7 @@
     }
 
     private void onCommitted(ClusterState state) {
-        RingLog.note(
+        RingLog.debug(
                 "committed edition "
                         + state.edition
                         + " revision "
@@ -314,10 +322,10 @@
     // ---- records
 
     @Override
-    public void onRecord(PeerLinks.Link link, byte[] record) {
+    public void onRecord(PeerLink link, byte[] record) {
         var type = record[0];
         if (type <= ChainMember.LAST_TYPE) {
-            chain.onRecord(Clocks.nowUs(), link.peer, record);
+            chain.onRecord(Clocks.nowUs(), link.peer(), record);
             carryOut();
             return;
         }
@@ -339,11 +347,11 @@
             case RecordType.LEASE_REQUEST -> dutyRelay.onWant(link, in);
             case RecordType.LEASE_GRANT -> dutyRelay.onGrant(link, record, in);
             case RecordType.SHELL_QUERY -> answerQuery(link, in.text());
-            default -> RingLog.note("link " + link.peer + ": unknown record " + type);
+            default -> RingLog.debug("link " + link.peer() + ": unknown record " + type);
         }
     }
 
-    private void answerQuery(PeerLinks.Link link, String query) {
+    private void answerQuery(PeerLink link, String query) {
         link.send(
                 new RecordWriter(RecordType.SHELL_RESPONSE)
                         .text(shellQueries.answer(query))
@@ -351,7 +359,7 @@
     }
 
     @Override
-    public void onClosed(PeerLinks.Link link) {
+    public void onClosed(PeerLink link) {
         peerRequests.onClosed(link);
         homes.remove(link).ifPresent(this::edgeLost);
     }
--- a/core/src/main/java/martenloom/core/admin/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -62,8 +62,8 @@
             case "homes" -> homes();
             case "leases" -> leases();
             case "jobs" -> chain.committed().jobTable.text(chain.jobClockUs(now));
-            case "traffic" -> LinkTraffic.text();
-            case "log" -> RingLog.tail(LOG_LINES);
+            case "traffic" -> LinkTraffic.report();
+            case "log" -> RingLog.recent(LOG_LINES);
             default -> USAGE;
         };
     }
@@ -90,13 +90,13 @@
     private static String member(EdgeRecord edge, long now) {
         return String.format(
                 "%s %s %s %s%s revision %d lease-age %d ms\n",
-                edge.ip,
-                edge.name,
-                edge.zone,
-                edge.ready ? "ready" : "not-ready",
-                edge.leaving ? " leaving" : "",
-                edge.revision,
-                (now - edge.heardUs) / 1000);
+                edge.ip(),
+                edge.name(),
+                edge.zone(),
+                edge.ready() ? "ready" : "not-ready",
+                edge.draining() ? " leaving" : "",
+                edge.configurationRevision(),
+                (now - edge.lastRenewalUs()) / 1000);
     }
 
     private String chainState(long now) {
@@ -124,31 +124,34 @@
     private static String replica(ReplicaRecord replica, long now) {
         return String.format(
                 "%s %s %s %s %s seq %d beat-age %d ms warm-left %d ms\n",
-                replica.id,
-                replica.service,
-                replica.address,
-                replica.zone,
+                replica.id(),
+                replica.service(),
+                replica.address(),
+                replica.zone(),
                 condition(replica),
-                replica.seq,
-                (now - replica.heardUs) / 1000,
-                Math.max(0, replica.warmAtUs - now) / 1000);
+                replica.sequence(),
+                (now - replica.lastHeartbeatUs()) / 1000,
+                Math.max(0, replica.warmFromUs() - now) / 1000);
     }
 
     private static String condition(ReplicaRecord replica) {
-        if (replica.gone) {
+        if (replica.ended()) {
             return "gone";
         }
-        if (replica.silent) {
+        if (replica.unreachable()) {
             return "silent";
         }
-        return replica.draining ? "draining" : "ready";
+        return replica.draining() ? "draining" : "ready";
     }
 
     private String homes() {
         var text = new StringBuilder();
         homes.forEach(
                 (edgeIp, link) ->
-                        text.append(edgeIp).append(" home ").append(settings.ip).append('\n'));
+                        text.append(edgeIp)
+                                .append(" home ")
+                                .append(settings.ipAddress())
+                                .append('\n'));
         return text.toString();
     }
 
--- a/core/src/main/java/martenloom/core/api/ControlApi.java
+++ b/core/src/main/java/martenloom/core/api/ControlApi.java
@@ -26,12 +26,15 @@
 import martenloom.common.error.MartenloomException;
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
-import martenloom.routing.configuration.Configurations;
+import martenloom.routing.configuration.JsonText;
+import martenloom.routing.route.RouteKind;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -152,7 +155,7 @@
 
     private Promise<HttpResponse> evacuation(String zone, ClusterState.Act act) {
         var h = URLDecoder.decode(zone, StandardCharsets.UTF_8);
-        if (!settings.zones.containsKey(h)) {
+        if (!settings.regionByZone().containsKey(h)) {
             return Promise.of(plain(404, "zone '" + h + "' is not known"));
         }
         return ask(new ClusterState.Change(act, 0, h, ""));
@@ -165,10 +168,11 @@
     private Promise<HttpResponse> placement(String region, String model, String order) {
         var g = URLDecoder.decode(region, StandardCharsets.UTF_8);
         var m = URLDecoder.decode(model, StandardCharsets.UTF_8);
-        if (!settings.zones.containsValue(g)) {
+        if (!settings.regionByZone().containsValue(g)) {
             return Promise.of(plain(404, "region '" + g + "' is not known"));
         }
-        if (table.get().services.values().stream().noneMatch(s -> s.engine && s.model.equals(m))) {
+        if (table.get().services().values().stream()
+                .noneMatch(s -> s.inferenceEngine() && s.model().equals(m))) {
             return Promise.of(
                     plain(inTouch.getAsBoolean() ? 404 : 503, "model '" + m + "' is not known"));
         }
@@ -193,7 +197,7 @@
                         Clocks.after(loop, 60_000, () -> ask(c, since, p));
                         return;
                     }
-                    RingLog.note(
+                    RingLog.debug(
                             "request "
                                     + c.act
                                     + " base "
@@ -220,74 +224,83 @@
 
     private Promise<HttpResponse> submit(String id, String text) {
         var j = new Job();
-        j.id = URLDecoder.decode(id, StandardCharsets.UTF_8);
-        if (!j.id.matches("[A-Za-z0-9._-]{1,64}")) {
+        j.setId(URLDecoder.decode(id, StandardCharsets.UTF_8));
+        if (!j.id().matches("[A-Za-z0-9._-]{1,64}")) {
             return Promise.of(
                     plain(400, "Id: 1 to 64 letters, digits, dots, dashes or underlines"));
         }
         try {
-            read(j, Configurations.body(text));
+            read(j, JsonText.parse(text));
         } catch (MartenloomException | com.typesafe.config.ConfigException e) {
             return Promise.of(
                     plain(400, "job: " + String.valueOf(e.getMessage()).replace('\n', ' ')));
         }
         var t = table.get();
-        var q = j.path.indexOf('?');
-        var r = t.find(j.host, q < 0 ? j.path : j.path.substring(0, q));
+        var q = j.path().indexOf('?');
+        var r = t.find(j.host(), q < 0 ? j.path() : j.path().substring(0, q));
         if (r.isEmpty()) {
             return Promise.of(
                     plain(
                             inTouch.getAsBoolean() ? 404 : 503,
-                            "Path: no route for host '" + j.host + "' and path '" + j.path + "'"));
+                            "Path: no route for host '"
+                                    + j.host()
+                                    + "' and path '"
+                                    + j.path()
+                                    + "'"));
         }
-        if (j.dueUs < 1_000_000) {
+        if (j.deadlineUs() < 1_000_000) {
             return Promise.of(
-                    plain(422, "DueMs: " + j.dueUs / 1000 + " cannot be met, 1000 is the least"));
+                    plain(
+                            422,
+                            "DueMs: "
+                                    + j.deadlineUs() / 1000
+                                    + " cannot be met, 1000 is the least"));
         }
-        if (!r.get().regions.isEmpty()) {
-            var o = outside.apply(r.get().regions);
+        if (!r.get().allowedRegions().isEmpty()) {
+            var o = outside.apply(r.get().allowedRegions());
             if (!o.isEmpty()) {
                 return Promise.of(
                         plain(
                                 422,
                                 "AllowedRegions of route '"
-                                        + r.get().name
+                                        + r.get().name()
                                         + "' leave out region '"
                                         + o
                                         + "', where the core would keep the job"));
             }
         }
-        j.repeatable = r.get().repeatable();
-        j.resumable = r.get().kind == RouteTable.Kind.STREAMING && r.get().resumable;
-        j.region = j.region.isEmpty() ? settings.region : j.region;
-        if (!settings.zones.containsValue(j.region) || !r.get().allows(j.region)) {
-            return Promise.of(plain(400, "Region: '" + j.region + "' is not known or not allowed"));
+        j.setRetriable(r.get().retriable());
+        j.setResumable(r.get().kind() == RouteKind.STREAMING && r.get().resumable());
+        j.setRegion(j.region().isEmpty() ? settings.region() : j.region());
+        if (!settings.regionByZone().containsValue(j.region()) || !r.get().allows(j.region())) {
+            return Promise.of(
+                    plain(400, "Region: '" + j.region() + "' is not known or not allowed"));
         }
         var o = new RecordWriter();
-        j.write(o);
+        JobCodec.write(j, o);
         return ask(
                 new ClusterState.Change(
                         ClusterState.Act.JOB_SUBMIT,
                         0,
-                        j.id,
+                        j.id(),
                         Base64.getEncoder().encodeToString(o.bytes())));
     }
 
     private static void read(Job j, com.typesafe.config.Config c) {
-        j.host = c.getString("Hostname").toLowerCase(Locale.ROOT);
-        j.path = c.getString("Path");
-        if (!j.path.startsWith("/") || j.path.chars().anyMatch(x -> x <= ' ' || x > 126)) {
+        j.setHost(c.getString("Hostname").toLowerCase(Locale.ROOT));
+        j.setPath(c.getString("Path"));
+        if (!j.path().startsWith("/") || j.path().chars().anyMatch(x -> x <= ' ' || x > 126)) {
             throw new InvalidConfigurationException(
                     "read job", "Path: must begin with a slash and hold no blanks");
         }
-        j.method = c.hasPath("Method") ? c.getString("Method") : "POST";
-        if (!j.method.matches("[A-Z]{1,16}")) {
+        j.setMethod(c.hasPath("Method") ? c.getString("Method") : "POST");
+        if (!j.method().matches("[A-Z]{1,16}")) {
             throw new InvalidConfigurationException(
                     "read job", "Method: must be a word in capitals");
         }
-        j.region = c.hasPath("Region") ? c.getString("Region") : "";
-        j.body = (c.hasPath("Body") ? c.getString("Body") : "").getBytes(StandardCharsets.UTF_8);
-        j.dueUs = (long) (c.getDouble("DueMs") * 1000);
+        j.setRegion(c.hasPath("Region") ? c.getString("Region") : "");
+        j.setBody((c.hasPath("Body") ? c.getString("Body") : "").getBytes(StandardCharsets.UTF_8));
+        j.setDeadlineUs((long) (c.getDouble("DueMs") * 1000));
         var f = new ArrayList<String>();
         if (c.hasPath("Headers")) {
             for (var e : c.getObject("Headers").entrySet()) {
@@ -301,12 +314,21 @@
             }
         }
         Collections.sort(f);
-        j.fields = f;
-        j.digest =
+        j.setHeaderFields(f);
+        j.setDigest(
                 ClusterState.sha(
-                        j.host + "\n" + j.path + "\n" + j.method + "\n" + j.region + "\n" + f + "\n"
-                                + j.dueUs,
-                        j.body);
+                        j.host()
+                                + "\n"
+                                + j.path()
+                                + "\n"
+                                + j.method()
+                                + "\n"
+                                + j.region()
+                                + "\n"
+                                + f
+                                + "\n"
+                                + j.deadlineUs(),
+                        j.body()));
     }
 
     // ---- replicas
@@ -317,30 +339,30 @@
         }
         try {
             var now = Clocks.nowUs();
-            var c = Configurations.body(text);
+            var c = JsonText.parse(text);
             var r = new ReplicaRecord();
-            r.id = URLDecoder.decode(id, StandardCharsets.UTF_8);
-            r.service = c.getString("Backend");
-            r.address = c.getString("Address");
-            Settings.address("Address", r.address);
-            r.zone = c.getString("Zone");
-            r.capacity = c.hasPath("Capacity") ? Math.max(1, (int) c.getDouble("Capacity")) : 1;
-            r.draining = c.hasPath("State") && c.getString("State").equals("draining");
-            r.seq = c.getLong("Sequence");
-            r.warmAtUs =
+            r.setId(URLDecoder.decode(id, StandardCharsets.UTF_8));
+            r.setService(c.getString("Backend"));
+            r.setAddress(c.getString("Address"));
+            IpPort.parse("Address", r.address());
+            r.setZone(c.getString("Zone"));
+            r.setCapacity(c.hasPath("Capacity") ? Math.max(1, (int) c.getDouble("Capacity")) : 1);
+            r.setDraining(c.hasPath("State") && c.getString("State").equals("draining"));
+            r.setSequence(c.getLong("Sequence"));
+            r.setWarmFromUs(
                     now
                             + (c.hasPath("WarmupLeftMs")
                                     ? (long) (c.getDouble("WarmupLeftMs") * 1000)
-                                    : 0);
-            r.leavesAtUs =
+                                    : 0));
+            r.setDrainDeadlineUs(
                     c.hasPath("RemainingMs")
                             ? now + (long) (c.getDouble("RemainingMs") * 1000)
-                            : Long.MAX_VALUE;
-            r.heardUs = now;
+                            : Long.MAX_VALUE);
+            r.setLastHeartbeatUs(now);
             registry.take(r, true);
-            if (r.draining) {
-                RingLog.note("replica " + r.id + " drains");
-                return acknowledgedByMajority(r.id);
+            if (r.draining()) {
+                RingLog.debug("replica " + r.id() + " drains");
+                return acknowledgedByMajority(r.id());
             }
             return Promise.of(plain(200, "{}"));
         } catch (MartenloomException | com.typesafe.config.ConfigException e) {
@@ -351,7 +373,7 @@
 
     /** Nothing that is taken here would reach an edge: the replica goes on to another daemon. */
     private HttpResponse outOfContact() {
-        return plain(503, "no contact with a majority of the core at " + settings.ip);
+        return plain(503, "no contact with a majority of the core at " + settings.ipAddress());
     }
 
     /**
@@ -364,7 +386,7 @@
             var why = "instance: 1 to 256 printable characters are expected";
             return Promise.of(plain(400, why));
         }
-        RingLog.note("replica " + instance + " is deregistered");
+        RingLog.debug("replica " + instance + " is deregistered");
         registry.bury(instance, Clocks.nowUs());
         return acknowledgedByMajority(instance);
     }
@@ -394,7 +416,7 @@
         var host = Optional.ofNullable(q.getQueryParameter("Name")).orElse("");
         var open =
                 registry.members(Clocks.nowUs()).stream()
-                        .filter(e -> e.ready && !e.leaving)
+                        .filter(e -> e.ready() && !e.draining())
                         .toList();
         var near = EdgeDirectory.choose(open, zone, region, EdgeDirectory.homes(table.get(), host));
         if (near.isEmpty()) {
@@ -407,9 +429,9 @@
                         e ->
                                 b.append(b.charAt(b.length() - 1) == '[' ? "" : ",")
                                         .append('"')
-                                        .append(e.front)
+                                        .append(e.frontendAddress())
                                         .append('"'));
-        var ttl = Math.min(settings.bounds.ttlMaxS, 4.0);
+        var ttl = Math.min(settings.bounds().maxTtlS(), 4.0);
         return plain(200, b.append("],\"TtlS\":").append(ttl).append('}').toString());
     }
 }
--- a/core/src/main/java/martenloom/core/api/EdgeDirectory.java
+++ b/core/src/main/java/martenloom/core/api/EdgeDirectory.java
@@ -26,9 +26,9 @@
             List<EdgeRecord> ready, String zone, String region, Set<String> homes) {
         var preferences =
                 List.<Predicate<EdgeRecord>>of(
-                        e -> e.zone.equals(zone),
-                        e -> e.region.equals(region),
-                        e -> homes.contains(e.region));
+                        e -> e.zone().equals(zone),
+                        e -> e.region().equals(region),
+                        e -> homes.contains(e.region()));
         for (var preference : preferences) {
             var near = ready.stream().filter(preference).toList();
             if (!near.isEmpty()) {
@@ -45,15 +45,16 @@
     static Set<String> homes(RouteTable table, String host) {
         var common = new HashSet<String>();
         var any = new HashSet<String>();
-        for (var route : table.routes) {
-            if (!route.host.equals(host.toLowerCase(Locale.ROOT)) || route.regions.isEmpty()) {
+        for (var route : table.routes()) {
+            if (!route.host().equals(host.toLowerCase(Locale.ROOT))
+                    || route.allowedRegions().isEmpty()) {
                 continue;
             }
             if (any.isEmpty()) {
-                common.addAll(route.regions);
+                common.addAll(route.allowedRegions());
             }
-            common.retainAll(route.regions);
-            any.addAll(route.regions);
+            common.retainAll(route.allowedRegions());
+            any.addAll(route.allowedRegions());
         }
         return common.isEmpty() ? any : common;
     }
--- a/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
+++ b/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
@@ -12,7 +12,7 @@
     private RouteTable table = RouteTable.EMPTY;
 
     public RouteTable of(ClusterState state) {
-        if (table.revision != state.revision) {
+        if (table.revision() != state.revision) {
             table = RoutingLanguage.compile(state.routingText);
         }
         return table;
--- a/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
+++ b/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
@@ -5,7 +5,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
 
@@ -41,7 +41,7 @@
      * Sends the whole configuration to one edge. Nothing is handed out as current that may be old:
      * the edge is told our age with every renewal, and goes elsewhere.
      */
-    public void sendWhole(String edgeIp, PeerLinks.Link link) {
+    public void sendWhole(String edgeIp, PeerLink link) {
         if (!chain.fresh(Clocks.nowUs())) {
             return;
         }
--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
@@ -2,7 +2,7 @@
 
 import martenloom.common.codec.RecordReader;
 import martenloom.common.fleet.EdgeRecord;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.core.jobs.RegionJobListing;
 import martenloom.core.lease.LeaseRelay;
 import martenloom.core.registry.Registry;
@@ -39,25 +39,25 @@
         this.dutyRelay = dutyRelay;
     }
 
-    public void onRenew(PeerLinks.Link link, RecordReader in, long now) {
+    public void onRenew(PeerLink link, RecordReader in, long now) {
         var edge = EdgeRecord.read(in, now);
         var stamp = in.i64();
-        edge.heardUs = now - link.delay.measure(stamp, now);
+        edge.setLastRenewalUs(now - link.transitDelay().excessDelayUs(stamp, now));
         var holder = in.text();
         var wantedDuties = in.texts();
         var coldReplicas = in.texts();
         registry.take(edge, true);
-        welcome(edge.ip, link, now);
+        welcome(edge.ip(), link, now);
         link.send(news.record(edge, stamp, coldReplicas, now));
-        regionJobs.recordFor(holder, edge.region, now).ifPresent(link::send);
+        regionJobs.recordFor(holder, edge.region(), now).ifPresent(link::send);
         wantedDuties.forEach(duty -> dutyRelay.passWant(duty, holder, stamp, now));
-        if (edge.leaving) {
+        if (edge.draining()) {
             replicaNews.flood();
         }
     }
 
     /** Sends an edge what it lacks on this link. */
-    private void welcome(String edgeIp, PeerLinks.Link link, long now) {
+    private void welcome(String edgeIp, PeerLink link, long now) {
         if (homes.bind(edgeIp, link)) {
             configurations.forget(edgeIp);
             sendReplicas(link, now);
@@ -68,12 +68,12 @@
     }
 
     /** Sends the whole configuration and all replicas again, at the wish of the edge. */
-    public void onResync(PeerLinks.Link link, long now) {
-        configurations.sendWhole(link.tag instanceof String edgeIp ? edgeIp : "", link);
+    public void onResync(PeerLink link, long now) {
+        configurations.sendWhole(link.attachment() instanceof String edgeIp ? edgeIp : "", link);
         sendReplicas(link, now);
     }
 
-    private void sendReplicas(PeerLinks.Link link, long now) {
+    private void sendReplicas(PeerLink link, long now) {
         link.send(registry.rows(registry.replicas(), true, now));
     }
 }
--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
@@ -64,7 +64,7 @@
                 .i32(memory.mostEdges())
                 .i32(registry.members(now).size())
                 .texts(peers.reachable())
-                .flag(regionJobs.anyLive(edge.region))
+                .flag(regionJobs.anyLive(edge.region()))
                 .i64(WarmupPermits.LEASE_US)
                 .list(
                         coldSends.lend(edge, coldReplicas, now).entrySet(),
--- a/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
@@ -8,8 +8,8 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
-import martenloom.common.link.PendingRequests;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.RequestId;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.peer.CorePeerLinks;
@@ -68,7 +68,7 @@
         }
         var link = peers.headLink();
         if (link.isEmpty() || !inTouch()) {
-            reply.accept(503, "no head is known at " + settings.ip);
+            reply.accept(503, "no head is known at " + settings.ipAddress());
             return;
         }
         var head = link.get();
@@ -76,20 +76,20 @@
         Clocks.after(
                 loop,
                 ANSWER_US,
-                () -> peerRequests.expire(id, "no reply from the head " + head.peer));
+                () -> peerRequests.expire(id, "no reply from the head " + head.peer()));
     }
 
     /** An order that another core daemon has handed over to this one. */
-    public void onOrder(PeerLinks.Link link, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
+    public void onOrder(PeerLink link, RecordReader in) {
+        var id = RequestId.read(in);
         submitLocally(
                 ClusterState.Change.read(in),
                 (status, text) -> PeerRequests.answer(link, id, status, text));
     }
 
     /** An order of an edge, which may only give those of the runner of jobs. */
-    public void onEdgeOrder(PeerLinks.Link link, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
+    public void onEdgeOrder(PeerLink link, RecordReader in) {
+        var id = RequestId.read(in);
         var act = ClusterState.Act.valueOf(in.text());
         var subject = in.text();
         var fence = in.i64();
--- a/core/src/main/java/martenloom/core/jobs/RegionJobListing.java
+++ b/core/src/main/java/martenloom/core/jobs/RegionJobListing.java
@@ -5,6 +5,7 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobState;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.configuration.CompiledRoutes;
 import martenloom.core.state.ClusterState;
@@ -44,18 +45,18 @@
 
     private static List<Job> live(ClusterState state, String region) {
         return state.jobTable.jobs.values().stream()
-                .filter(job -> job.state.live() && job.region.equals(region))
+                .filter(job -> job.state().isLive() && job.region().equals(region))
                 .toList();
     }
 
     private static void writeJob(RecordWriter out, Job job, long clockUs, RouteTable table) {
-        out.text(job.id)
-                .flag(job.state == Job.State.RUNNING)
-                .i64(job.fence)
-                .i32(job.runs)
-                .i64(job.dueUs - clockUs)
-                .i64(job.dueUs - job.submittedUs)
-                .text(job.prefix())
-                .text(table.find(job.host, job.path).map(route -> route.name).orElse(""));
+        out.text(job.id())
+                .flag(job.state() == JobState.RUNNING)
+                .i64(job.fencingToken())
+                .i32(job.attempts())
+                .i64(job.deadlineUs() - clockUs)
+                .i64(job.deadlineUs() - job.submittedUs())
+                .text(job.promptPrefix())
+                .text(table.find(job.host(), job.path()).map(route -> route.name()).orElse(""));
     }
 }
--- a/core/src/main/java/martenloom/core/lease/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -6,7 +6,7 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.common.log.RingLog;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.edge.EdgeLinks;
@@ -73,7 +73,7 @@
     }
 
     /** Another core daemon passes on that an edge of its own wants a duty. */
-    public void onWant(PeerLinks.Link link, RecordReader in) {
+    public void onWant(PeerLink link, RecordReader in) {
         duties.want(in.text(), in.text(), in.i64(), link::send);
     }
 
@@ -81,7 +81,7 @@
      * A grant counts from the head of the moment, on our link to it, and not when a newer one is
      * known here.
      */
-    public void onGrant(PeerLinks.Link from, byte[] record, RecordReader in) {
+    public void onGrant(PeerLink from, byte[] record, RecordReader in) {
         var holder = in.text();
         var duty = in.text();
         var ofHead = peers.headLink().filter(head -> head == from).isPresent();
@@ -94,11 +94,11 @@
      * A report comes from an edge of ours, then goes to all our edges and to the peers; theirs pass
      * it to their edges only.
      */
-    public void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
+    public void onReport(PeerLink from, byte[] record, RecordReader in) {
         var duty = in.text() + "/" + in.text();
         var reporter = in.text();
         if (chain.committed().overtaken(duty, in.i64())) {
-            RingLog.note(
+            RingLog.debug(
                     "a report of " + reporter + " under an older grant of " + duty + " is dropped");
             return;
         }
--- a/core/src/main/java/martenloom/core/load/LoadPublisher.java
+++ b/core/src/main/java/martenloom/core/load/LoadPublisher.java
@@ -55,7 +55,11 @@
         if (receivers.isEmpty()) {
             return;
         }
-        var out = new RecordWriter(RecordType.HOME_LOAD).text(settings.ip).i64(life).i64(turns);
+        var out =
+                new RecordWriter(RecordType.HOME_LOAD)
+                        .text(settings.ipAddress())
+                        .i64(life)
+                        .i64(turns);
         own.write(out);
         aggregator.writePlaces(out, way);
         var record = out.bytes();
@@ -66,7 +70,7 @@
         toldVersion = aggregator.version();
         var out = aggregator.whole(own, now).write(new RecordWriter());
         aggregator.writePlaces(out, LoadAggregator.Way.EDGES);
-        own.doubtful().write(out);
+        own.onlySuspected().write(out);
         var sum = out.bytes();
         homes.forEach((edgeIp, link) -> link.send(wholeSum(edgeIp, sum)));
     }
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -67,12 +67,12 @@
      */
     public boolean run() {
         var done = new CountDownLatch(1);
-        var graceUs = (long) (settings.bounds.graceS * 1_000_000);
+        var graceUs = (long) (settings.bounds().gracePeriodS() * 1_000_000);
         urgentUs = Clocks.nowUs() + (long) (graceUs * WAITS_SHARE);
         endUs = Clocks.nowUs() + graceUs - END_US;
         loop.execute(
                 () -> {
-                    RingLog.note("leaving");
+                    RingLog.debug("leaving");
                     begun = true;
                     chain.onLeave(Clocks.nowUs());
                     step(done);
@@ -89,13 +89,15 @@
         var now = Clocks.nowUs();
         if (mayEnd(now) || now >= endUs) {
             var how = releasedUs > 0 ? "in order" : "at the end of the grace period";
-            RingLog.note("left " + how);
+            RingLog.debug("left " + how);
             done.countDown();
             return;
         }
         if (releasedUs == 0) {
             var urgency = now < urgentUs ? ClusterState.LEAVE_SOON : ClusterState.LEAVE_NOW;
-            var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, settings.ip, "");
+            var order =
+                    new ClusterState.Change(
+                            ClusterState.Act.LEAVE, urgency, settings.ipAddress(), "");
             orders.submit(order, (status, text) -> taken |= status == 200);
         }
         Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -14,7 +14,10 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.OutgoingPeerLink;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.registry.RegistryCheckpoint;
@@ -36,8 +39,8 @@
     private final Settings settings;
     private final ChainMember chain;
     private final RegistryCheckpoint memory;
-    private final PeerLinks.Handler handler;
-    private final Map<String, PeerLinks.Dial> dials = new TreeMap<>();
+    private final PeerLinkHandler handler;
+    private final Map<String, OutgoingPeerLink> dials = new TreeMap<>();
     private final Map<String, Long> reachedUs = new HashMap<>();
     private final Map<String, String> regions = new TreeMap<>();
     private int turn;
@@ -50,7 +53,7 @@
             Settings settings,
             ChainMember chain,
             RegistryCheckpoint memory,
-            PeerLinks.Handler handler) {
+            PeerLinkHandler handler) {
         this.loop = loop;
         this.settings = settings;
         this.chain = chain;
@@ -59,7 +62,7 @@
     }
 
     public static List<String> seedIps(Settings settings) {
-        return settings.seeds.stream()
+        return settings.seedNodes().stream()
                 .map(seed -> seed.substring(0, seed.lastIndexOf(':')))
                 .distinct()
                 .toList();
@@ -69,13 +72,14 @@
 
     /** Opens the link to a peer, unless there is one already. */
     public void dial(String ip) {
-        if (ip.equals(settings.ip) || dials.containsKey(ip)) {
+        if (ip.equals(settings.ipAddress()) || dials.containsKey(ip)) {
             return;
         }
-        var address = Settings.address("peer", ip + ":" + settings.portLow);
+        var address = IpPort.parse("peer", ip + ":" + settings.firstInternalPort());
         dials.put(
                 ip,
-                new PeerLinks.Dial(loop, address, REDIAL_US, link -> link.send(hello()), handler));
+                new OutgoingPeerLink(
+                        loop, address, REDIAL_US, link -> link.send(hello()), handler));
     }
 
     public void dialAll(Collection<String> ips) {
@@ -88,7 +92,7 @@
 
     /** Gives up the links on which nothing was heard for a while; they are opened again. */
     public void closeSilent() {
-        dials.values().forEach(dial -> dial.check(SILENCE_US));
+        dials.values().forEach(dial -> dial.closeIfSilent(SILENCE_US));
     }
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
@@ -108,7 +112,7 @@
     }
 
     public void stop() {
-        dials.values().forEach(PeerLinks.Dial::stop);
+        dials.values().forEach(OutgoingPeerLink::stop);
     }
 
     /** The peers that are dialed, whether they are reached or not; follows the changes. */
@@ -116,12 +120,12 @@
         return Collections.unmodifiableSet(dials.keySet());
     }
 
-    public Optional<PeerLinks.Link> link(String ip) {
-        return Optional.ofNullable(dials.get(ip)).flatMap(PeerLinks.Dial::link);
+    public Optional<PeerLink> link(String ip) {
+        return Optional.ofNullable(dials.get(ip)).flatMap(OutgoingPeerLink::link);
     }
 
     /** The link to the head of the moment. */
-    public Optional<PeerLinks.Link> headLink() {
+    public Optional<PeerLink> headLink() {
         return link(chain.head());
     }
 
@@ -129,7 +133,7 @@
     public Collection<String> reachable() {
         var ips = new TreeSet<>(chain.committed().roster);
         dials.forEach((ip, dial) -> dial.link().ifPresent(link -> ips.add(ip)));
-        ips.add(settings.ip);
+        ips.add(settings.ipAddress());
         return ips;
     }
 
@@ -158,35 +162,35 @@
     /** Makes us known on a link, at its start and then as a sign of life. */
     private byte[] hello() {
         return new RecordWriter(RecordType.HELLO)
-                .text(settings.ip)
-                .text(settings.region)
+                .text(settings.ipAddress())
+                .text(settings.region())
                 .i32(memory.mostEdges())
                 .i64(Clocks.nowUs())
                 .bytes();
     }
 
     /** A peer makes itself known: it is told whom we reach, and is dialed in return. */
-    public void onHello(PeerLinks.Link link, RecordReader in) {
-        link.peer = in.text();
-        regions.put(link.peer, in.text());
+    public void onHello(PeerLink link, RecordReader in) {
+        link.setPeer(in.text());
+        regions.put(link.peer(), in.text());
         memory.sawEdges(in.i32());
-        link.delay.measure(in.i64(), Clocks.nowUs());
+        link.transitDelay().excessDelayUs(in.i64(), Clocks.nowUs());
         link.send(new RecordWriter(RecordType.KNOWN_PEERS).texts(reachable()).bytes());
-        dial(link.peer);
+        dial(link.peer());
     }
 
     // ---- regions
 
     /** Whether a peer has made itself known as one of our region. */
     public boolean ofOurRegion(String ip) {
-        return settings.region.equals(regions.getOrDefault(ip, ""));
+        return settings.region().equals(regions.getOrDefault(ip, ""));
     }
 
     /** How many core daemons of our region have made themselves known, ourselves with them. */
     public int homesInRegion() {
         var others =
                 regions.keySet().stream()
-                        .filter(ip -> ofOurRegion(ip) && !ip.equals(settings.ip))
+                        .filter(ip -> ofOurRegion(ip) && !ip.equals(settings.ipAddress()))
                         .count();
         return 1 + (int) others;
     }
@@ -198,7 +202,9 @@
     public String regionOutside(Set<String> allowed) {
         for (var member : chain.committed().roster) {
             var region =
-                    member.equals(settings.ip) ? settings.region : regions.getOrDefault(member, "");
+                    member.equals(settings.ipAddress())
+                            ? settings.region()
+                            : regions.getOrDefault(member, "");
             if (!allowed.contains(region)) {
                 return region.isEmpty() ? "unknown" : region;
             }
--- a/core/src/main/java/martenloom/core/peer/PeerRequests.java
+++ b/core/src/main/java/martenloom/core/peer/PeerRequests.java
@@ -6,8 +6,9 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.common.link.PendingRequests;
+import martenloom.common.link.RequestId;
 import martenloom.common.log.RingLog;
 
 /**
@@ -16,16 +17,16 @@
  * reactor thread.
  */
 public final class PeerRequests {
-    private final PendingRequests<PeerLinks.Link> pending =
+    private final PendingRequests<PeerLink> pending =
             new PendingRequests<>(new SecureRandom().nextLong());
 
     /** Sends a request: a record of this type with the id of the request before its body. */
-    public PendingRequests.RequestId send(
-            PeerLinks.Link link,
+    public RequestId send(
+            PeerLink link,
             int recordType,
             Consumer<RecordWriter> body,
             BiConsumer<Integer, String> reply) {
-        var id = pending.open(link, reply);
+        var id = pending.register(link, reply);
         var out = new RecordWriter(recordType);
         id.write(out);
         body.accept(out);
@@ -34,19 +35,19 @@
     }
 
     /** Gives up a request that had no answer in time; does nothing if it was answered. */
-    public void expire(PendingRequests.RequestId id, String why) {
+    public void expire(RequestId id, String why) {
         pending.expire(id, why);
     }
 
-    public void onAnswer(PeerLinks.Link link, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
-        if (!pending.answered(id, link, in.i32(), in.text())) {
-            RingLog.note("link " + link.peer + ": an answer to no request of ours is dropped");
+    public void onAnswer(PeerLink link, RecordReader in) {
+        var id = RequestId.read(in);
+        if (!pending.complete(id, link, in.i32(), in.text())) {
+            RingLog.debug("link " + link.peer() + ": an answer to no request of ours is dropped");
         }
     }
 
-    public void onClosed(PeerLinks.Link link) {
-        pending.closed(link, "the link to " + link.peer + " closed before an answer");
+    public void onClosed(PeerLink link) {
+        pending.channelClosed(link, "the link to " + link.peer() + " closed before an answer");
     }
 
     public boolean isEmpty() {
@@ -54,8 +55,7 @@
     }
 
     /** Answers a request on the link on which it came, under the id that its sender gave it. */
-    public static void answer(
-            PeerLinks.Link link, PendingRequests.RequestId id, int status, String text) {
+    public static void answer(PeerLink link, RequestId id, int status, String text) {
         var out = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(out);
         link.send(out.i32(status).text(text).bytes());
--- a/core/src/main/java/martenloom/core/placement/PlacementService.java
+++ b/core/src/main/java/martenloom/core/placement/PlacementService.java
@@ -10,6 +10,7 @@
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
 import martenloom.routing.placement.Placement;
+import martenloom.routing.placement.PlacementFinding;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -39,20 +40,20 @@
         var p = new Placement();
         var ev = chain.committed().evacuated;
         for (var r : registry.replicas()) {
-            if (!r.gone && !r.draining && !r.silent && !ev.contains(r.zone)) {
-                p.put(r.service, settings.regionOf(r.zone), r.id);
+            if (!r.ended() && !r.draining() && !r.unreachable() && !ev.contains(r.zone())) {
+                p.addReplica(r.service(), settings.regionOf(r.zone()), r.id());
             }
         }
         return p;
     }
 
-    public SortedSet<Placement.Finding> exposure() {
+    public SortedSet<PlacementFinding> exposure() {
         var s = chain.committed();
         var t = table.apply(s);
         return ClusterState.rested(now(), t, s.scales).findings(t);
     }
 
-    private Set<Placement.Finding> exposed = Set.of();
+    private Set<PlacementFinding> exposed = Set.of();
 
     /**
      * The head says once what has become exposed, whoever brought it about: an order of the
@@ -67,10 +68,10 @@
         var f = exposure();
         f.stream()
                 .filter(x -> !exposed.contains(x))
-                .forEach(x -> RingLog.say("exposure: " + x.text()));
+                .forEach(x -> RingLog.info("exposure: " + x.text()));
         exposed.stream()
                 .filter(x -> !f.contains(x))
-                .forEach(x -> RingLog.note("exposure ended: " + x.text()));
+                .forEach(x -> RingLog.debug("exposure ended: " + x.text()));
         exposed = f;
     }
 
@@ -86,10 +87,10 @@
         }
         var p = now();
         var bad =
-                Placement.added(
+                Placement.regressions(
                         ClusterState.rested(p, t, s.scales), ClusterState.rested(p, t, to), t);
         return bad.isEmpty()
                 ? "ok: nothing is stranded\n"
-                : String.join("\n", bad.stream().map(Placement.Finding::text).toList()) + "\n";
+                : String.join("\n", bad.stream().map(PlacementFinding::text).toList()) + "\n";
     }
 }
--- a/core/src/main/java/martenloom/core/registry/Registry.java
+++ b/core/src/main/java/martenloom/core/registry/Registry.java
@@ -69,24 +69,24 @@
      * original.
      */
     public boolean take(ReplicaRecord r, boolean direct) {
-        if (Clocks.nowUs() - r.heardUs > keptUs(r)) {
+        if (Clocks.nowUs() - r.lastHeartbeatUs() > keptUs(r)) {
             return false;
         }
-        var s = of(r.id);
+        var s = of(r.id());
         synchronized (s) {
-            var old = Optional.ofNullable(s.replicas.get(r.id));
-            if (old.isPresent() && !r.newer(old.get())) {
+            var old = Optional.ofNullable(s.replicas.get(r.id()));
+            if (old.isPresent() && !r.isNewerThan(old.get())) {
                 return false;
             }
-            s.replicas.put(r.id, r);
+            s.replicas.put(r.id(), r);
             var same =
                     old.isPresent()
                                     && old.get().digest() == r.digest()
-                                    && Math.abs(old.get().warmAtUs - r.warmAtUs) < 300_000
+                                    && Math.abs(old.get().warmFromUs() - r.warmFromUs()) < 300_000
                             || old.isPresent()
                                     && old.get().digest() == r.digest()
-                                    && r.warmAtUs <= Clocks.nowUs()
-                                    && old.get().warmAtUs <= Clocks.nowUs();
+                                    && r.warmFromUs() <= Clocks.nowUs()
+                                    && old.get().warmFromUs() <= Clocks.nowUs();
             mark(r, direct, same);
             return true;
         }
@@ -98,25 +98,25 @@
      * also passes around a cut between two of them.
      */
     private synchronized void mark(ReplicaRecord r, boolean direct, boolean same) {
-        var ends = !same && (r.draining || r.gone);
+        var ends = !same && (r.draining() || r.ended());
         if (direct || ends) {
-            freshReplicas.put(r.id, r);
+            freshReplicas.put(r.id(), r);
         }
         if (!same) {
             digestOld = true;
             endsChanged |= ends;
-            changed.put(r.id, r);
+            changed.put(r.id(), r);
         }
     }
 
     public boolean take(EdgeRecord e, boolean direct) {
-        var s = of(e.ip);
+        var s = of(e.ip());
         synchronized (s) {
-            var old = Optional.ofNullable(s.edges.get(e.ip));
-            if (old.isPresent() && !e.newer(old.get())) {
+            var old = Optional.ofNullable(s.edges.get(e.ip()));
+            if (old.isPresent() && !e.isNewerThan(old.get())) {
                 return false;
             }
-            s.edges.put(e.ip, e);
+            s.edges.put(e.ip(), e);
             if (direct) {
                 tell(e, old.map(o -> o.digest() == e.digest()).orElse(false));
             }
@@ -126,9 +126,9 @@
 
     /** A renewal that says nothing new is told on only now and then, well within the lease. */
     private synchronized void tell(EdgeRecord e, boolean same) {
-        if (!same || e.heardUs - toldUs.getOrDefault(e.ip, 0L) >= TELL_US) {
-            toldUs.put(e.ip, e.heardUs);
-            freshEdges.put(e.ip, e);
+        if (!same || e.lastRenewalUs() - toldUs.getOrDefault(e.ip(), 0L) >= TELL_US) {
+            toldUs.put(e.ip(), e.lastRenewalUs());
+            freshEdges.put(e.ip(), e);
         }
     }
 
@@ -140,7 +140,7 @@
     }
 
     private static long keptUs(ReplicaRecord r) {
-        return r.gone ? TOMBSTONE_US : FORGET_US;
+        return r.ended() ? TOMBSTONE_US : FORGET_US;
     }
 
     /**
@@ -152,15 +152,15 @@
         replica(id)
                 .ifPresent(
                         r -> {
-                            tombstone.service = r.service;
-                            tombstone.address = r.address;
-                            tombstone.zone = r.zone;
-                            tombstone.seq = r.seq + 1;
+                            tombstone.setService(r.service());
+                            tombstone.setAddress(r.address());
+                            tombstone.setZone(r.zone());
+                            tombstone.setSequence(r.sequence() + 1);
                         });
-        tombstone.id = id;
-        tombstone.gone = true;
-        tombstone.draining = true;
-        tombstone.heardUs = now;
+        tombstone.setId(id);
+        tombstone.setEnded(true);
+        tombstone.setDraining(true);
+        tombstone.setLastHeartbeatUs(now);
         take(tombstone, true);
     }
 
@@ -175,13 +175,13 @@
     private void boundTombstones() {
         var tombstones =
                 replicas().stream()
-                        .filter(r -> r.gone)
-                        .sorted(Comparator.comparingLong((ReplicaRecord r) -> r.heardUs))
+                        .filter(r -> r.ended())
+                        .sorted(Comparator.comparingLong((ReplicaRecord r) -> r.lastHeartbeatUs()))
                         .toList();
         for (var r : tombstones.subList(0, Math.max(0, tombstones.size() - MOST_TOMBSTONES))) {
-            var s = of(r.id);
+            var s = of(r.id());
             synchronized (s) {
-                s.replicas.remove(r.id);
+                s.replicas.remove(r.id());
             }
         }
     }
@@ -191,12 +191,13 @@
         var ended = 0;
         for (var s : shards) {
             synchronized (s) {
-                digestOld |= s.replicas.values().removeIf(r -> now - r.heardUs > keptUs(r));
-                s.edges.values().removeIf(e -> now - e.heardUs > FORGET_US);
+                digestOld |=
+                        s.replicas.values().removeIf(r -> now - r.lastHeartbeatUs() > keptUs(r));
+                s.edges.values().removeIf(e -> now - e.lastRenewalUs() > FORGET_US);
                 for (var r : s.replicas.values()) {
-                    ended += r.gone ? 1 : 0;
-                    if (!r.silent && !r.gone && now - r.heardUs > silentUs) {
-                        r.silent = true;
+                    ended += r.ended() ? 1 : 0;
+                    if (!r.unreachable() && !r.ended() && now - r.lastHeartbeatUs() > silentUs) {
+                        r.setUnreachable(true);
                         mark(r, false, false);
                     }
                 }
@@ -215,7 +216,7 @@
                                 return new ArrayList<>(s.replicas.values()).stream();
                             }
                         })
-                .sorted(Comparator.comparing(r -> r.id))
+                .sorted(Comparator.comparing(r -> r.id()))
                 .toList();
     }
 
@@ -227,13 +228,13 @@
                                 return new ArrayList<>(s.edges.values()).stream();
                             }
                         })
-                .sorted(Comparator.comparing(e -> e.ip))
+                .sorted(Comparator.comparing(e -> e.ip()))
                 .toList();
     }
 
     /** The members among the edges: those whose lease still runs. */
     public List<EdgeRecord> members(long now) {
-        return edges().stream().filter(e -> now - e.heardUs < EDGE_LEASE_US).toList();
+        return edges().stream().filter(e -> now - e.lastRenewalUs() < EDGE_LEASE_US).toList();
     }
 
     public synchronized List<ReplicaRecord> pollChanged() {
@@ -292,7 +293,7 @@
     private static int digest(Shard s) {
         var d = 0;
         for (var r : s.replicas.values()) {
-            d += Objects.hash(r.id, r.draining, r.gone);
+            d += Objects.hash(r.id(), r.draining(), r.ended());
         }
         for (var e : s.edges.values()) {
             d += e.digest();
@@ -345,13 +346,13 @@
                         .list(
                                 x -> {
                                     var r = ReplicaRecord.read(x, now);
-                                    if (r.gone) {
+                                    if (r.ended()) {
                                         take(r, false);
                                         return false;
                                     }
-                                    r.heardUs = now;
-                                    r.silent = false;
-                                    r.warmAtUs = Math.max(r.warmAtUs, now + coldUs);
+                                    r.setLastHeartbeatUs(now);
+                                    r.setUnreachable(false);
+                                    r.setWarmFromUs(Math.max(r.warmFromUs(), now + coldUs));
                                     take(r, false);
                                     return true;
                                 })
@@ -366,7 +367,7 @@
         for (var s : shards) {
             synchronized (s) {
                 for (var r : s.replicas.values()) {
-                    ended += r.gone ? r.id.hashCode() : 0;
+                    ended += r.ended() ? r.id().hashCode() : 0;
                 }
             }
         }
@@ -381,7 +382,7 @@
             for (var s : shards) {
                 synchronized (s) {
                     for (var r : s.replicas.values()) {
-                        d += r.gone ? 0 : r.digest();
+                        d += r.ended() ? 0 : r.digest();
                     }
                 }
             }
--- a/core/src/main/java/martenloom/core/registry/RegistryCheckpoint.java
+++ b/core/src/main/java/martenloom/core/registry/RegistryCheckpoint.java
@@ -27,10 +27,10 @@
     public RegistryCheckpoint(Settings settings, VersionedStore store, Registry registry) {
         this.store = store;
         this.registry = registry;
-        var coldUs = settings.beatMs * 2000L;
+        var coldUs = settings.heartbeatIntervalMs() * 2000L;
         var replicas = store.note(NOTE).map(note -> restore(note, coldUs)).orElse(0);
         restored = replicas > 0;
-        RingLog.note("replicas remembered: " + replicas);
+        RingLog.debug("replicas remembered: " + replicas);
     }
 
     private int restore(byte[] note, long coldUs) {
@@ -40,7 +40,7 @@
             mostHomes = Math.max(1, in.i32());
             return registry.remember(in, Clocks.nowUs(), coldUs);
         } catch (MartenloomException f) {
-            RingLog.wrong("the note of replicas is passed over: " + f.getMessage());
+            RingLog.error("the note of replicas is passed over: " + f.getMessage());
             return 0;
         }
     }
--- a/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
+++ b/core/src/main/java/martenloom/core/registry/ReplicaUpdatePublisher.java
@@ -6,8 +6,8 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
-import martenloom.common.link.PendingRequests;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.RequestId;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.edge.EdgeLinks;
@@ -74,14 +74,14 @@
         var roster = chain.committed().roster;
         var receipt = new QuorumAcknowledgement(roster, confirmed);
         var rows = registry.rowFlood(replica, Clocks.nowUs());
-        var sent = new ArrayList<PendingRequests.RequestId>();
+        var sent = new ArrayList<RequestId>();
         for (var member : roster) {
             peers.link(member)
                     .map(link -> sendConfirmed(link, rows, () -> receipt.receivedBy(member)))
                     .ifPresent(sent::add);
         }
         flood();
-        receipt.receivedBy(settings.ip);
+        receipt.receivedBy(settings.ipAddress());
         Clocks.after(
                 loop,
                 CONFIRM_US,
@@ -91,8 +91,7 @@
                 });
     }
 
-    private PendingRequests.RequestId sendConfirmed(
-            PeerLinks.Link link, byte[] rows, Runnable received) {
+    private RequestId sendConfirmed(PeerLink link, byte[] rows, Runnable received) {
         return peerRequests.send(
                 link,
                 RecordType.CONFIRMED_REGISTRY_UPDATE,
@@ -108,17 +107,17 @@
      * Rows from another daemon, as old as their sender says and for as long as they were under way.
      * Ends are told on at once.
      */
-    public void onFlood(PeerLinks.Link link, RecordReader in) {
+    public void onFlood(PeerLink link, RecordReader in) {
         var now = Clocks.nowUs();
-        registry.takeFlood(in, now - link.delay.measure(in.i64(), now));
+        registry.takeFlood(in, now - link.transitDelay().excessDelayUs(in.i64(), now));
         if (registry.endsChanged()) {
             tellHomes(now);
         }
     }
 
     /** Rows whose sender waits until they have been taken here. */
-    public void onConfirmedFlood(PeerLinks.Link link, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
+    public void onConfirmedFlood(PeerLink link, RecordReader in) {
+        var id = RequestId.read(in);
         onFlood(link, new RecordReader(in.blob(), true));
         PeerRequests.answer(link, id, 200, "");
     }
@@ -129,7 +128,7 @@
     }
 
     /** Answers the digests of a peer with the rows that differ. */
-    public void onDigests(PeerLinks.Link link, RecordReader in) {
-        registry.mend(in, Clocks.nowUs()).ifPresent(rows -> peers.send(link.peer, rows));
+    public void onDigests(PeerLink link, RecordReader in) {
+        registry.mend(in, Clocks.nowUs()).ifPresent(rows -> peers.send(link.peer(), rows));
     }
 }
--- a/core/src/main/java/martenloom/core/state/ClusterState.java
+++ b/core/src/main/java/martenloom/core/state/ClusterState.java
@@ -20,6 +20,7 @@
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.placement.Placement;
+import martenloom.routing.placement.PlacementFinding;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -419,9 +420,9 @@
                 return refused(400, "Revision: " + rev + " is not above " + revision);
             }
             var d = draft();
-            d.revision = s.revision;
-            d.json = s.json;
-            d.routingText = s.routingText;
+            d.revision = s.revision();
+            d.json = s.json();
+            d.routingText = s.routingText();
             d.applied = applied.with(digest);
             return d.done("");
         } catch (MartenloomException f) {
@@ -603,11 +604,11 @@
         var to = new TreeMap<>(scales);
         wish.ifPresentOrElse(x -> to.put(c.subject, x), () -> to.remove(c.subject));
         var t = RoutingLanguage.compile(routingText);
-        var all = Placement.of(c.survey);
-        var bad = Placement.added(rested(all, t, scales), rested(all, t, to), t);
+        var all = Placement.decode(c.survey);
+        var bad = Placement.regressions(rested(all, t, scales), rested(all, t, to), t);
         if (!bad.isEmpty()) {
             return refused(
-                    409, String.join("; ", bad.stream().map(Placement.Finding::text).toList()));
+                    409, String.join("; ", bad.stream().map(PlacementFinding::text).toList()));
         }
         d.scales = to;
         return d.done("");
@@ -621,8 +622,8 @@
             var model = e.getKey().substring(g + 1);
             p =
                     p.without(
-                            t.services.values().stream()
-                                    .filter(s -> s.engine && s.model.equals(model))
+                            t.services().values().stream()
+                                    .filter(s -> s.inferenceEngine() && s.model().equals(model))
                                     .toList(),
                             e.getKey().substring(0, g),
                             e.getValue().pinned,
--- a/core/src/main/java/martenloom/core/state/JobTable.java
+++ b/core/src/main/java/martenloom/core/state/JobTable.java
@@ -8,6 +8,9 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobJson;
+import martenloom.common.jobs.JobState;
 
 /**
  * The deferred jobs as part of the core's state: immutable, changed only by decide(), which is the
@@ -36,7 +39,7 @@
     public record Said(int status, String text, Optional<JobTable> next) {}
 
     public void write(RecordWriter o) {
-        o.i64(clockUs).list(jobs.values(), (w, j) -> j.write(w));
+        o.i64(clockUs).list(jobs.values(), (w, j) -> JobCodec.write(j, w));
     }
 
     public static JobTable read(RecordReader in) {
@@ -44,18 +47,18 @@
         var m = new TreeMap<String, Job>();
         in.list(
                 x -> {
-                    var j = Job.read(x);
-                    return m.put(j.id, j);
+                    var j = JobCodec.read(x);
+                    return m.put(j.id(), j);
                 });
         return new JobTable(c, m);
     }
 
     public long live() {
-        return jobs.values().stream().filter(j -> j.state.live()).count();
+        return jobs.values().stream().filter(j -> j.state().isLive()).count();
     }
 
     public long bytes() {
-        return jobs.values().stream().mapToLong(Job::bytes).sum();
+        return jobs.values().stream().mapToLong(Job::sizeBytes).sum();
     }
 
     private static Said no(int status, String why) {
@@ -64,7 +67,7 @@
 
     private Said put(long at, Job j, String text) {
         var m = new TreeMap<>(jobs);
-        m.put(j.id, j);
+        m.put(j.id(), j);
         return new Said(200, text, Optional.of(new JobTable(Math.max(clockUs, at), m)));
     }
 
@@ -83,7 +86,7 @@
             return no(404, "job '" + c.subject + "' is not known");
         }
         return switch (c.act) {
-            case JOB_GET -> no(200, j.get().json(Math.max(clockUs, c.atUs)));
+            case JOB_GET -> no(200, JobJson.render(j.get(), Math.max(clockUs, c.atUs)));
             case JOB_RESULT -> result(j.get());
             case JOB_CONFIRM -> confirm(c, j.get());
             case JOB_CANCEL -> cancel(c, j.get());
@@ -92,17 +95,20 @@
     }
 
     private Said submit(ClusterState.Change c) {
-        var j = Job.read(new RecordReader(Base64.getDecoder().decode(c.body), false));
-        var old = Optional.ofNullable(jobs.get(j.id));
+        var j = JobCodec.read(new RecordReader(Base64.getDecoder().decode(c.body), false));
+        var old = Optional.ofNullable(jobs.get(j.id()));
         if (old.isPresent()) {
-            return old.get().digest.equals(j.digest)
-                    ? no(200, old.get().json(Math.max(clockUs, c.atUs)))
-                    : no(409, "job '" + j.id + "' is known with other content");
+            return old.get().digest().equals(j.digest())
+                    ? no(200, JobJson.render(old.get(), Math.max(clockUs, c.atUs)))
+                    : no(409, "job '" + j.id() + "' is known with other content");
         }
-        if (j.bytes() > MOST_BODY) {
+        if (j.sizeBytes() > MOST_BODY) {
             return no(
                     413,
-                    "Body: the job has " + j.bytes() + " bytes, over the limit of " + MOST_BODY);
+                    "Body: the job has "
+                            + j.sizeBytes()
+                            + " bytes, over the limit of "
+                            + MOST_BODY);
         }
         if (jobs.size() >= MOST_JOBS) {
             return no(
@@ -111,7 +117,7 @@
                             + MOST_JOBS
                             + " jobs, its limit; confirm results or come back later");
         }
-        if (bytes() + j.bytes() > MOST_BYTES) {
+        if (bytes() + j.sizeBytes() > MOST_BYTES) {
             return no(
                     429,
                     "the core keeps "
@@ -120,64 +126,64 @@
                             + MOST_BYTES);
         }
         var now = Math.max(clockUs, c.atUs);
-        j.submittedUs = now;
-        j.dueUs = now + j.dueUs;
-        return put(c.atUs, j, j.json(now));
+        j.setSubmittedUs(now);
+        j.setDeadlineUs(now + j.deadlineUs());
+        return put(c.atUs, j, JobJson.render(j, now));
     }
 
     private static Said result(Job j) {
-        if (j.state != Job.State.DONE) {
+        if (j.state() != JobState.DONE) {
             return no(
                     409,
                     "job '"
-                            + j.id
+                            + j.id()
                             + "' is "
-                            + j.state.word()
-                            + (j.why.isEmpty() ? "" : ": " + j.why));
+                            + j.state().label()
+                            + (j.reason().isEmpty() ? "" : ": " + j.reason()));
         }
-        return j.confirmed
-                ? no(410, "the result of job '" + j.id + "' was confirmed and let go")
-                : no(200, new String(j.result, StandardCharsets.UTF_8));
+        return j.confirmed()
+                ? no(410, "the result of job '" + j.id() + "' was confirmed and let go")
+                : no(200, new String(j.result(), StandardCharsets.UTF_8));
     }
 
     private Said confirm(ClusterState.Change c, Job j) {
-        if (j.state != Job.State.DONE) {
-            return no(409, "job '" + j.id + "' is " + j.state.word());
+        if (j.state() != JobState.DONE) {
+            return no(409, "job '" + j.id() + "' is " + j.state().label());
         }
-        if (j.confirmed) {
+        if (j.confirmed()) {
             return no(200, "");
         }
         var n = j.copy();
-        n.confirmed = true;
-        n.result = new byte[0];
-        n.body = new byte[0];
+        n.setConfirmed(true);
+        n.setResult(new byte[0]);
+        n.setBody(new byte[0]);
         return put(c.atUs, n, "");
     }
 
     private Said cancel(ClusterState.Change c, Job j) {
-        if (j.state == Job.State.CANCELLED) {
+        if (j.state() == JobState.CANCELLED) {
             return no(200, "");
         }
-        if (!j.state.live() || j.state == Job.State.RUNNING && !j.repeatable) {
+        if (!j.state().isLive() || j.state() == JobState.RUNNING && !j.retriable()) {
             return no(
                     409,
                     "job '"
-                            + j.id
+                            + j.id()
                             + "' is "
-                            + j.state.word()
-                            + (j.state.live() ? " and may not be taken back" : ""));
+                            + j.state().label()
+                            + (j.state().isLive() ? " and may not be taken back" : ""));
         }
-        return put(c.atUs, ended(j, Job.State.CANCELLED, "cancelled", c.atUs), "");
+        return put(c.atUs, ended(j, JobState.CANCELLED, "cancelled", c.atUs), "");
     }
 
-    private Job ended(Job j, Job.State s, String why, long at) {
+    private Job ended(Job j, JobState s, String why, long at) {
         var n = j.copy();
-        n.state = s;
-        n.why = why;
-        n.endedUs = Math.max(clockUs, at);
-        if (s != Job.State.DONE) {
-            n.kept = new byte[0];
-            n.body = new byte[0];
+        n.setState(s);
+        n.setReason(why);
+        n.setEndedUs(Math.max(clockUs, at));
+        if (s != JobState.DONE) {
+            n.setCheckpoint(new byte[0]);
+            n.setBody(new byte[0]);
         }
         return n;
     }
@@ -185,61 +191,71 @@
     // ---- what the holder of the duty says; base is its fence, version the number of the run
 
     private Said fenced(ClusterState.Change c, Job j, Map<String, ClusterState.Duty> duties) {
-        var d = Optional.ofNullable(duties.get(j.duty()));
+        var d = Optional.ofNullable(duties.get(j.role()));
         if (d.isEmpty() || d.get().grant != c.base) {
             return no(409, "fence " + c.base + " is not the grant in force");
         }
         if (c.act == ClusterState.Act.JOB_START) {
             return start(c, j);
         }
-        if (j.state != Job.State.RUNNING || j.fence != c.base || j.runs != c.version) {
+        if (j.state() != JobState.RUNNING
+                || j.fencingToken() != c.base
+                || j.attempts() != c.version) {
             return no(
                     409,
                     "job '"
-                            + j.id
+                            + j.id()
                             + "' is "
-                            + j.state.word()
+                            + j.state().label()
                             + " under fence "
-                            + j.fence
+                            + j.fencingToken()
                             + ", run "
-                            + j.runs);
+                            + j.attempts());
         }
         var in = new RecordReader(Base64.getDecoder().decode(c.body), false);
         return switch (c.act) {
             case JOB_KEEP -> {
                 var n = j.copy();
-                n.lastEvent = in.text();
+                n.setLastEventId(in.text());
                 var from = in.i32();
                 var more = in.blob();
-                if (from + more.length == j.kept.length && j.lastEvent.equals(n.lastEvent)) {
+                if (from + more.length == j.checkpoint().length
+                        && j.lastEventId().equals(n.lastEventId())) {
                     yield no(200, "");
                 }
-                if (from != j.kept.length) {
+                if (from != j.checkpoint().length) {
                     yield no(
                             409,
-                            "job '" + j.id + "' has " + j.kept.length + " bytes kept, not " + from);
+                            "job '"
+                                    + j.id()
+                                    + "' has "
+                                    + j.checkpoint().length
+                                    + " bytes kept, not "
+                                    + from);
                 }
-                n.kept = Job.join(j.kept, more);
-                yield n.bytes() > 2 * MOST_BODY
+                n.setCheckpoint(j.checkpointFollowedBy(more));
+                yield n.sizeBytes() > 2 * MOST_BODY
                         ? put(
                                 c.atUs,
-                                ended(j, Job.State.FAILED, "the result is over the limit", c.atUs),
+                                ended(j, JobState.FAILED, "the result is over the limit", c.atUs),
                                 "")
                         : put(c.atUs, n, "");
             }
             case JOB_DONE -> {
-                var n = ended(j, Job.State.DONE, "", c.atUs);
-                n.status = in.i32();
-                if (in.i32() != j.kept.length) {
-                    yield no(409, "job '" + j.id + "' has " + j.kept.length + " bytes kept");
+                var n = ended(j, JobState.DONE, "", c.atUs);
+                n.setStatus(in.i32());
+                if (in.i32() != j.checkpoint().length) {
+                    yield no(
+                            409,
+                            "job '" + j.id() + "' has " + j.checkpoint().length + " bytes kept");
                 }
-                n.result = Job.join(j.kept, in.blob());
-                n.kept = new byte[0];
-                n.body = new byte[0];
-                yield n.bytes() > 2 * MOST_BODY
+                n.setResult(j.checkpointFollowedBy(in.blob()));
+                n.setCheckpoint(new byte[0]);
+                n.setBody(new byte[0]);
+                yield n.sizeBytes() > 2 * MOST_BODY
                         ? put(
                                 c.atUs,
-                                ended(j, Job.State.FAILED, "the result is over the limit", c.atUs),
+                                ended(j, JobState.FAILED, "the result is over the limit", c.atUs),
                                 "")
                         : put(c.atUs, n, "");
             }
@@ -253,30 +269,32 @@
      * taken back starts nothing.
      */
     private Said start(ClusterState.Change c, Job j) {
-        if (j.runs != c.version) {
-            return no(409, "job '" + j.id + "' has had " + j.runs + " runs, not " + c.version);
+        if (j.attempts() != c.version) {
+            return no(
+                    409,
+                    "job '" + j.id() + "' has had " + j.attempts() + " runs, not " + c.version);
         }
-        if (j.state == Job.State.RUNNING && j.fence < c.base) {
-            if (!j.repeatable) {
+        if (j.state() == JobState.RUNNING && j.fencingToken() < c.base) {
+            if (!j.retriable()) {
                 return put(
                         c.atUs,
                         ended(
                                 j,
-                                Job.State.UNCERTAIN,
+                                JobState.UNCERTAIN,
                                 "its runner was lost and it may have run",
                                 c.atUs),
                         "");
             }
-        } else if (j.state != Job.State.WAITING) {
-            return no(409, "job '" + j.id + "' is " + j.state.word());
+        } else if (j.state() != JobState.WAITING) {
+            return no(409, "job '" + j.id() + "' is " + j.state().label());
         }
         var n = j.copy();
-        n.state = Job.State.RUNNING;
-        n.fence = c.base;
-        n.runs++;
-        n.why = "running at " + c.body;
+        n.setState(JobState.RUNNING);
+        n.setFencingToken(c.base);
+        n.setAttempts(n.attempts() + 1);
+        n.setReason("running at " + c.body);
         var o = new RecordWriter();
-        n.write(o);
+        JobCodec.write(n, o);
         return put(c.atUs, n, Base64.getEncoder().encodeToString(o.bytes()));
     }
 
@@ -285,15 +303,15 @@
      * failure.
      */
     private Said back(ClusterState.Change c, Job j, int how, String why) {
-        if (how == 1 && !j.repeatable) {
-            return put(c.atUs, ended(j, Job.State.UNCERTAIN, why, c.atUs), "");
+        if (how == 1 && !j.retriable()) {
+            return put(c.atUs, ended(j, JobState.UNCERTAIN, why, c.atUs), "");
         }
-        if (how == 2 && !j.repeatable || how > 0 && j.runs >= MOST_RUNS) {
-            return put(c.atUs, ended(j, Job.State.FAILED, why, c.atUs), "");
+        if (how == 2 && !j.retriable() || how > 0 && j.attempts() >= MOST_RUNS) {
+            return put(c.atUs, ended(j, JobState.FAILED, why, c.atUs), "");
         }
         var n = j.copy();
-        n.state = Job.State.WAITING;
-        n.why = why;
+        n.setState(JobState.WAITING);
+        n.setReason(why);
         return put(c.atUs, n, "");
     }
 
@@ -302,24 +320,18 @@
         var now = Math.max(clockUs, at);
         var m = new TreeMap<String, Job>();
         for (var j : jobs.values()) {
-            if (j.state == Job.State.WAITING && now > j.dueUs) {
-                m.put(j.id, ended(j, Job.State.EXPIRED, "its due time passed while it waited", at));
-            } else if (j.state == Job.State.RUNNING && now > j.dueUs + LATE_US) {
+            if (j.state() == JobState.WAITING && now > j.deadlineUs()) {
+                m.put(
+                        j.id(),
+                        ended(j, JobState.EXPIRED, "its due time passed while it waited", at));
+            } else if (j.state() == JobState.RUNNING && now > j.deadlineUs() + LATE_US) {
                 m.put(
-                        j.id,
-                        j.repeatable
-                                ? ended(
-                                        j,
-                                        Job.State.EXPIRED,
-                                        "its due time passed while it ran",
-                                        at)
-                                : ended(
-                                        j,
-                                        Job.State.UNCERTAIN,
-                                        "no word came from its runner",
-                                        at));
-            } else if (j.state.live() || now - j.endedUs < RESULT_AGE_US) {
-                m.put(j.id, j);
+                        j.id(),
+                        j.retriable()
+                                ? ended(j, JobState.EXPIRED, "its due time passed while it ran", at)
+                                : ended(j, JobState.UNCERTAIN, "no word came from its runner", at));
+            } else if (j.state().isLive() || now - j.endedUs() < RESULT_AGE_US) {
+                m.put(j.id(), j);
             }
         }
         return new Said(200, "", Optional.of(new JobTable(now, m)));
@@ -331,7 +343,7 @@
                 .forEach(
                         j ->
                                 b.append(b.charAt(b.length() - 1) == '[' ? "" : ",")
-                                        .append(j.json(Math.max(clockUs, at))));
+                                        .append(JobJson.render(j, Math.max(clockUs, at))));
         return b.append("]}").toString();
     }
 
@@ -345,14 +357,14 @@
                                         String.format(
                                                 "%s %s %s age %d ms slack %d ms runs %d fence %d"
                                                         + " %s\n",
-                                                j.id,
-                                                j.state.word(),
-                                                j.region,
-                                                (now - j.submittedUs) / 1000,
-                                                (j.dueUs - now) / 1000,
-                                                j.runs,
-                                                j.fence,
-                                                j.why)));
+                                                j.id(),
+                                                j.state().label(),
+                                                j.region(),
+                                                (now - j.submittedUs()) / 1000,
+                                                (j.deadlineUs() - now) / 1000,
+                                                j.attempts(),
+                                                j.fencingToken(),
+                                                j.reason())));
         return b.toString();
     }
 }
--- a/core/src/main/java/martenloom/core/storage/VersionedStore.java
+++ b/core/src/main/java/martenloom/core/storage/VersionedStore.java
@@ -88,7 +88,7 @@
         var found = newest > 0 ? whole(f.read(nameOf(newest))) : Optional.<byte[]>empty();
         damaged = newest > 0 && found.isEmpty() || newestAside > Math.max(0, newest) + 1;
         if (damaged) {
-            RingLog.wrong(
+            RingLog.error(
                     "store: version "
                             + newest
                             + " is not whole or one after it is gone, the disk counts as lost");
@@ -163,7 +163,7 @@
                                             || asideVersionOf(n) > 0 && asideVersionOf(n) <= v)
                     .forEach(f::remove);
         } catch (RuntimeException e) {
-            RingLog.note("store: an old version is not removed: " + e.getMessage());
+            RingLog.debug("store: an old version is not removed: " + e.getMessage());
         }
     }
 
@@ -207,7 +207,7 @@
                         f.rename(name + ASIDE, name);
                         f.syncFolder();
                     } catch (RuntimeException e) {
-                        RingLog.note("store: note " + name + " is not kept: " + e.getMessage());
+                        RingLog.debug("store: note " + name + " is not kept: " + e.getMessage());
                     }
                 });
     }
@@ -236,7 +236,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            RingLog.note("store: the last version is not written: " + e.getClass().getSimpleName());
+            RingLog.debug(
+                    "store: the last version is not written: " + e.getClass().getSimpleName());
         }
     }
 
@@ -253,7 +254,7 @@
                             done.run();
                             return;
                         } catch (RuntimeException e) {
-                            RingLog.wrong("store: " + e.getMessage());
+                            RingLog.error("store: " + e.getMessage());
                             pause();
                         }
                     }
@@ -287,7 +288,7 @@
             try {
                 sync(folder);
             } catch (IOException e) {
-                RingLog.note("store: " + folder + " is not synced: " + e.getMessage());
+                RingLog.debug("store: " + folder + " is not synced: " + e.getMessage());
             }
         }
 
