--- a/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
+++ b/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
@@ -60,12 +60,12 @@
      */
     public Map<String, Integer> lend(EdgeRecord edge, List<String> coldReplicas, long now) {
         var lent = new LinkedHashMap<String, Integer>();
-        if (!edge.region.equals(settings.region) || edge.leaving) {
+        if (!edge.region().equals(settings.region()) || edge.draining()) {
             return lent;
         }
         var table = routes.of(chain.committed());
         for (var replica : coldReplicas) {
-            var sends = lend(edge.ip, replica, coldPerSecond(replica, table), now);
+            var sends = lend(edge.ip(), replica, coldPerSecond(replica, table), now);
             if (sends > 0) {
                 lent.put(replica, sends);
             }
@@ -84,11 +84,12 @@
     /** How many sends in a second a cold replica takes from all edges together. */
     private int coldPerSecond(String replica, RouteTable table) {
         return registry.replica(replica)
-                .flatMap(row -> Optional.ofNullable(table.services.get(row.service)))
+                .flatMap(row -> Optional.ofNullable(table.services().get(row.service())))
                 .map(
                         service ->
-                                service.coldPerS(
-                                        settings.bounds.warmOverage, settings.bounds.warmSlack))
+                                service.coldRequestsPerS(
+                                        settings.bounds().warmupOverage(),
+                                        settings.bounds().warmupSlack()))
                 .orElse(0);
     }
 
--- a/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
+++ b/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
@@ -8,6 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import martenloom.common.fleet.EdgeRecord;
+import martenloom.routing.route.ClientLimits;
+import martenloom.routing.route.Route;
 import martenloom.routing.route.RouteTable;
 import org.junit.jupiter.api.Test;
 
@@ -21,28 +23,31 @@
 
     private static EdgeRecord edge(String ip, String zone, String region) {
         var edge = new EdgeRecord();
-        edge.ip = ip;
-        edge.zone = zone;
-        edge.region = region;
+        edge.setIp(ip);
+        edge.setZone(zone);
+        edge.setRegion(region);
         return edge;
     }
 
     private static RouteTable table(List<String>... regionsOfRoutes) {
-        var routes = new ArrayList<RouteTable.Route>();
+        var routes = new ArrayList<Route>();
         for (var regions : regionsOfRoutes) {
-            var route = new RouteTable.Route();
-            route.host = "cluster.example";
-            route.prefix = "/" + routes.size() + "/";
-            route.regions.addAll(regions);
-            routes.add(route);
+            routes.add(
+                    Route.builder()
+                            .host("cluster.example")
+                            .pathPrefix("/" + routes.size() + "/")
+                            .allowRegions(regions)
+                            .build());
         }
-        return new RouteTable(1, RouteTable.Limits.DEFAULT, List.of(), routes, Map.of());
+        return new RouteTable(1, ClientLimits.DEFAULT, List.of(), routes, Map.of());
     }
 
     private String named(String zone, String region, Set<String> homes) {
         return String.join(
                 ",",
-                EdgeDirectory.choose(ready, zone, region, homes).stream().map(e -> e.ip).toList());
+                EdgeDirectory.choose(ready, zone, region, homes).stream()
+                        .map(e -> e.ip())
+                        .toList());
     }
 
     @Test
--- a/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
+++ b/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
@@ -19,15 +19,15 @@
 
     private static LoadSummary part(int inHand, int flights) {
         var t = LoadSummary.ofEdge();
-        t.put("r", inHand, inHand * 100, false);
+        t.addReplica("r", inHand, inHand * 100, false);
         for (var i = 0; i < flights; i++) {
-            t.fly("north/m");
+            t.addInFlight("north/m");
         }
         return t;
     }
 
     private int whole(long now) {
-        return d.whole(d.own(now), now).load("r").inHand;
+        return d.whole(d.own(now), now).replicaLoad("r").inFlight();
     }
 
     @Test
@@ -39,11 +39,14 @@
                 LoadSummary.read(
                         new RecordReader(
                                 d.whole(d.own(0), 0).write(new RecordWriter()).bytes(), false));
-        assertEquals(11, w.load("r").inHand);
-        assertEquals(1100, w.load("r").unread);
-        assertEquals(8, w.flights().get("north/m"));
-        assertEquals(4, w.edges());
-        assertEquals(8, w.less(part(3, 4)).load("r").inHand, "an edge takes its own part away");
+        assertEquals(11, w.replicaLoad("r").inFlight());
+        assertEquals(1100, w.replicaLoad("r").pendingPrefillTokens());
+        assertEquals(8, w.inFlightByModel().get("north/m"));
+        assertEquals(4, w.edgeCount());
+        assertEquals(
+                8,
+                w.subtract(part(3, 4)).replicaLoad("r").inFlight(),
+                "an edge takes its own part away");
     }
 
     @Test
--- a/core/src/test/java/martenloom/core/registry/RegistryTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryTest.java
@@ -23,22 +23,22 @@
 
     private ReplicaRecord beat(String id, long sequence, boolean draining) {
         var beat = new ReplicaRecord();
-        beat.id = id;
-        beat.service = "plain";
-        beat.address = "10.0.0.9:80";
-        beat.seq = sequence;
-        beat.draining = draining;
-        beat.heardUs = now;
+        beat.setId(id);
+        beat.setService("plain");
+        beat.setAddress("10.0.0.9:80");
+        beat.setSequence(sequence);
+        beat.setDraining(draining);
+        beat.setLastHeartbeatUs(now);
         return beat;
     }
 
     private EdgeRecord renewal(long life, long sequence, long heardUs) {
         var edge = new EdgeRecord();
-        edge.ip = "10.0.2.1";
-        edge.life = life;
-        edge.seq = sequence;
-        edge.ready = true;
-        edge.heardUs = heardUs;
+        edge.setIp("10.0.2.1");
+        edge.setIncarnation(life);
+        edge.setSequence(sequence);
+        edge.setReady(true);
+        edge.setLastRenewalUs(heardUs);
         return edge;
     }
 
@@ -54,7 +54,7 @@
     }
 
     private boolean gone(Registry registry, String id) {
-        return registry.replica(id).map(r -> r.gone).orElse(false);
+        return registry.replica(id).map(r -> r.ended()).orElse(false);
     }
 
     @Test
@@ -93,7 +93,7 @@
         here.take(beat("i", 7, true), true);
         pass(here.pollFlood(now).orElseThrow(), peer, now);
         pass(peer.pollFlood(now).orElseThrow(), behindTheCut, now);
-        assertTrue(behindTheCut.replica("i").orElseThrow().draining);
+        assertTrue(behindTheCut.replica("i").orElseThrow().draining());
         pass(behindTheCut.pollFlood(now).orElseThrow(), here, now);
         assertTrue(here.pollFlood(now).isEmpty(), "what is known is not told on again");
     }
@@ -112,7 +112,7 @@
         assertTrue(gone(next, "i"));
         assertEquals(
                 now - 5 * SECOND_US,
-                next.replica("i").orElseThrow().heardUs,
+                next.replica("i").orElseThrow().lastHeartbeatUs(),
                 "and is as old as it was");
     }
 
@@ -128,7 +128,7 @@
         here.sweep(now + 601 * SECOND_US);
         assertEquals(List.of(), here.replicas());
         var old = beat("j", 1, false);
-        old.heardUs = now - 61 * SECOND_US;
+        old.setLastHeartbeatUs(now - 61 * SECOND_US);
         assertFalse(here.take(old, false), "a peer's copy that is too old is not taken");
     }
 
@@ -138,9 +138,9 @@
         assertFalse(here.take(beat("i", 5, false), true));
         peer.take(beat("i", 5, false), true);
         repair(here, peer, now);
-        assertTrue(here.replica("i").orElseThrow().draining);
+        assertTrue(here.replica("i").orElseThrow().draining());
         repair(peer, here, now);
-        assertTrue(peer.replica("i").orElseThrow().draining);
+        assertTrue(peer.replica("i").orElseThrow().draining());
     }
 
     @Test
@@ -179,7 +179,7 @@
         pass(flood, peer, now);
         assertEquals(
                 2,
-                peer.members(now + 10 * SECOND_US).get(0).life,
+                peer.members(now + 10 * SECOND_US).get(0).incarnation(),
                 "and does not replace a later life");
     }
 }
--- a/core/src/test/java/martenloom/core/state/JobTableTest.java
+++ b/core/src/test/java/martenloom/core/state/JobTableTest.java
@@ -9,6 +9,9 @@
 import java.util.Optional;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobState;
+import martenloom.common.jobs.JobUrgency;
 import org.junit.jupiter.api.Test;
 
 /** The states of a job and the fence, without any program around them. */
@@ -20,7 +23,7 @@
                 a,
                 fence,
                 id,
-                Optional.ofNullable(s.jobTable.jobs.get(id)).map(j -> j.runs).orElse(0),
+                Optional.ofNullable(s.jobTable.jobs.get(id)).map(j -> j.attempts()).orElse(0),
                 body,
                 at);
     }
@@ -56,19 +59,19 @@
 
     private int submit(String id, boolean repeatable, String text) {
         var j = new Job();
-        j.id = id;
-        j.region = "north";
-        j.repeatable = repeatable;
-        j.body = text.getBytes();
-        j.digest = text;
-        j.dueUs = 60_000_000;
+        j.setId(id);
+        j.setRegion("north");
+        j.setRetriable(repeatable);
+        j.setBody(text.getBytes());
+        j.setDigest(text);
+        j.setDeadlineUs(60_000_000);
         var o = new RecordWriter();
-        j.write(o);
+        JobCodec.write(j, o);
         return go(ClusterState.Act.JOB_SUBMIT, 0, id, o, 1000);
     }
 
-    private Job.State state(String id) {
-        return s.jobTable.jobs.get(id).state;
+    private JobState state(String id) {
+        return s.jobTable.jobs.get(id).state();
     }
 
     private static RecordWriter kept(String last, int from, String more) {
@@ -103,10 +106,10 @@
         go(ClusterState.Act.JOB_START, 1, "j", new RecordWriter(), 2000);
         go(ClusterState.Act.JOB_START, 1, "k", new RecordWriter(), 2000);
         go(ClusterState.Act.JOB_BACK, 1, "k", new RecordWriter().u8(0).text("no room"), 2500);
-        assertEquals(Job.State.WAITING, state("k"), "what did not run may wait again");
+        assertEquals(JobState.WAITING, state("k"), "what did not run may wait again");
         duty("y");
         go(ClusterState.Act.JOB_START, 2, "j", new RecordWriter(), 3000);
-        assertEquals(Job.State.UNCERTAIN, state("j"));
+        assertEquals(JobState.UNCERTAIN, state("j"));
     }
 
     @Test
@@ -133,10 +136,10 @@
         go(ClusterState.Act.JOB_START, 1, "k", new RecordWriter(), 2000);
         assertEquals(200, go(ClusterState.Act.JOB_CANCEL, 0, "j", new RecordWriter(), 2100));
         assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", done(0, "x"), 2200));
-        assertEquals(Job.State.CANCELLED, state("j"));
+        assertEquals(JobState.CANCELLED, state("j"));
         go(ClusterState.Act.JOB_DONE, 1, "k", done(0, "x"), 2200);
         assertEquals(409, go(ClusterState.Act.JOB_CANCEL, 0, "k", new RecordWriter(), 2300));
-        assertEquals(Job.State.DONE, state("k"));
+        assertEquals(JobState.DONE, state("k"));
     }
 
     @Test
@@ -150,14 +153,14 @@
                 409,
                 go(ClusterState.Act.JOB_START, 1, "j", 0, new RecordWriter(), 2200),
                 "a copy of the first start");
-        assertEquals(Job.State.WAITING, state("j"));
+        assertEquals(JobState.WAITING, state("j"));
         assertEquals(200, go(ClusterState.Act.JOB_START, 1, "j", 1, new RecordWriter(), 2300));
         assertEquals(
                 409,
                 go(ClusterState.Act.JOB_BACK, 1, "j", 1, back, 2400),
                 "a copy that gave the first run back");
         assertEquals(409, go(ClusterState.Act.JOB_DONE, 1, "j", 1, done(0, "first"), 2400));
-        assertEquals(Job.State.RUNNING, state("j"), "what may not be repeated runs once at a time");
+        assertEquals(JobState.RUNNING, state("j"), "what may not be repeated runs once at a time");
         assertEquals(200, go(ClusterState.Act.JOB_DONE, 1, "j", 2, done(0, "second"), 2500));
     }
 
@@ -181,9 +184,9 @@
     void theClockEndsWhatIsPastDueAndForgetsOldEnds() {
         submit("j", true, "t");
         go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 59_000_000);
-        assertEquals(Job.State.WAITING, state("j"));
+        assertEquals(JobState.WAITING, state("j"));
         go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 70_000_000);
-        assertEquals(Job.State.EXPIRED, state("j"));
+        assertEquals(JobState.EXPIRED, state("j"));
         go(ClusterState.Act.JOB_CLOCK, 0, "", new RecordWriter(), 5_000);
         assertEquals(70_000_000, s.jobTable.clockUs, "the clock does not go back");
         go(
@@ -198,11 +201,11 @@
     @Test
     void urgencyRisesStepByStep() {
         var h = 3_600_000_000L;
-        assertEquals(0, Job.urgency(h * 6 / 10, h));
-        assertEquals(1, Job.urgency(h * 4 / 10, h));
-        assertEquals(2, Job.urgency(h / 10, h));
-        assertEquals(2, Job.urgency(15_000_000, h));
-        assertEquals(3, Job.urgency(4_000_000, h));
+        assertEquals(0, JobUrgency.of(h * 6 / 10, h));
+        assertEquals(1, JobUrgency.of(h * 4 / 10, h));
+        assertEquals(2, JobUrgency.of(h / 10, h));
+        assertEquals(2, JobUrgency.of(15_000_000, h));
+        assertEquals(3, JobUrgency.of(4_000_000, h));
     }
 
     @Test
--- a/core/src/test/java/martenloom/core/state/OrderVersionTest.java
+++ b/core/src/test/java/martenloom/core/state/OrderVersionTest.java
@@ -30,13 +30,13 @@
 
     @BeforeEach
     void twoRegionsRunTheModel() {
-        running.put("s", "north", "n1");
-        running.put("s", "south", "s1");
-        running.put("s", "west", "w1");
+        running.addReplica("s", "north", "n1");
+        running.addReplica("s", "south", "s1");
+        running.addReplica("s", "west", "w1");
     }
 
     private int decide(ClusterState.Change change) {
-        var outcome = state.decide(change.surveyed(running.text()));
+        var outcome = state.decide(change.surveyed(running.encode()));
         state = outcome.next.orElse(state);
         return outcome.status;
     }
@@ -141,7 +141,7 @@
     @Test
     void aLoadOfWhatIsNotUnloadedLeavesTheScalersOrderAlone() {
         decide(new ClusterState.Change(ClusterState.Act.REPLACE, 0, "", CONFIGURATION));
-        running.put("s", "north", "n2");
+        running.addReplica("s", "north", "n2");
         assertEquals(
                 200,
                 decide(new ClusterState.Change(ClusterState.Act.DUTY, 0, "scale/north", "edge#1")));
--- a/core/src/test/java/martenloom/core/state/ScaleOrderTest.java
+++ b/core/src/test/java/martenloom/core/state/ScaleOrderTest.java
@@ -29,7 +29,7 @@
     }
 
     private ClusterState.Outcome go(ClusterState.Change c) {
-        var o = s.decide(c.surveyed(c.act.ofPlacement() ? runs.text() : ""));
+        var o = s.decide(c.surveyed(c.act.ofPlacement() ? runs.encode() : ""));
         s = o.next.orElse(s);
         return o;
     }
@@ -49,9 +49,9 @@
     @BeforeEach
     void open() {
         assertEquals(200, go(ClusterState.Act.REPLACE, 0, "", CONFIGURATION).status);
-        runs.put("s", "north", "n1");
-        runs.put("s", "north", "n2");
-        runs.put("s", "south", "s1");
+        runs.addReplica("s", "north", "n1");
+        runs.addReplica("s", "north", "n2");
+        runs.addReplica("s", "south", "s1");
     }
 
     @Test
@@ -74,7 +74,7 @@
 
     @Test
     void twoOrdersThatAreEachSafeCannotBothPass() {
-        runs.put("s", "west", "w1");
+        runs.addReplica("s", "west", "w1");
         var n = grant("north", "edge1#1");
         var q = grant("south", "edge3#1");
         assertEquals(
@@ -83,7 +83,7 @@
                                 new ClusterState.Change(
                                                 ClusterState.Act.SCALE, q, "south/m", "0\ns1")
                                         .versioned(1)
-                                        .surveyed(runs.text()))
+                                        .surveyed(runs.encode()))
                         .status,
                 "safe alone");
         assertEquals(
@@ -98,7 +98,7 @@
     @Test
     void theOperatorsWordStandsAboveTheScaler() {
         var n = grant("north", "edge1#1");
-        runs.put("s", "west", "w1");
+        runs.addReplica("s", "west", "w1");
         assertEquals(200, go(ClusterState.Act.PLACE, 0, "north/m", "unload").status);
         var o = go(ClusterState.Act.SCALE, n, "north/m", "2");
         assertEquals(409, o.status);
--- a/edge/src/main/java/martenloom/edge/CoreClient.java
+++ b/edge/src/main/java/martenloom/edge/CoreClient.java
@@ -7,8 +7,9 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.common.link.PendingRequests;
+import martenloom.common.link.RequestId;
 import martenloom.common.log.RingLog;
 import martenloom.edge.jobs.JobRunner;
 
@@ -22,7 +23,7 @@
 
     private final Eventloop loop;
     private final HomeConnection home;
-    private final PendingRequests<PeerLinks.Link> pending =
+    private final PendingRequests<PeerLink> pending =
             new PendingRequests<>(new SecureRandom().nextLong());
 
     CoreClient(Eventloop loop, HomeConnection home) {
@@ -44,7 +45,7 @@
             loop.post(() -> reply.accept(PendingRequests.UNKNOWN_OUTCOME, "no home"));
             return;
         }
-        var id = pending.open(link.get(), reply);
+        var id = pending.register(link.get(), reply);
         var out = new RecordWriter(RecordType.EDGE_REQUEST);
         id.write(out);
         link.get().send(out.text(act).text(subject).i64(fence).i64(version).text(body).bytes());
@@ -52,15 +53,15 @@
     }
 
     /** Passes an answer of the core on to the caller that waits for it. */
-    void onAnswer(PeerLinks.Link link, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
-        if (!pending.answered(id, link, in.i32(), in.text())) {
-            RingLog.note("link " + link.peer + ": an answer to no request of ours is dropped");
+    void onAnswer(PeerLink link, RecordReader in) {
+        var id = RequestId.read(in);
+        if (!pending.complete(id, link, in.i32(), in.text())) {
+            RingLog.debug("link " + link.peer() + ": an answer to no request of ours is dropped");
         }
     }
 
     /** Tells the callers whose answers could only have come on this link. */
-    void onClosed(PeerLinks.Link link) {
-        pending.closed(link, "the link to the home closed before an answer");
+    void onClosed(PeerLink link) {
+        pending.channelClosed(link, "the link to the home closed before an answer");
     }
 }
--- a/edge/src/main/java/martenloom/edge/Departure.java
+++ b/edge/src/main/java/martenloom/edge/Departure.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import martenloom.common.clock.Clocks;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.OperatingBounds;
 import martenloom.edge.dispatch.ClientConnection;
 import martenloom.edge.dispatch.RequestDispatcher;
 
@@ -54,19 +54,19 @@
     Departure(
             Eventloop loop,
             RequestDispatcher dispatcher,
-            Settings.Bounds bounds,
+            OperatingBounds bounds,
             Runnable stopListening) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.stopListening = stopListening;
-        var graceUs = (long) (bounds.graceS * 1e6);
+        var graceUs = (long) (bounds.gracePeriodS() * 1e6);
         limitRequestsUs = Math.min(CUT_FORGIVEN_US, graceUs / 2);
         closeConnectionsUs = Math.max(0, limitRequestsUs - ClientConnection.IDLE_WHILE_LEAVING_US);
         endAllUs = Math.max(0, graceUs - END_BEFORE_KILL_US);
         endWhenFreeUs =
                 Math.max(
                         limitRequestsUs,
-                        Math.min((long) (bounds.ttlMaxS * 1e6), endAllUs - CLOSING_UP_US));
+                        Math.min((long) (bounds.maxTtlS() * 1e6), endAllUs - CLOSING_UP_US));
         exitUs = Math.max(0, graceUs - EXIT_BEFORE_KILL_US);
     }
 
--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -20,15 +20,18 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.fleet.ReplicaRecord;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.edge.dispatch.ClientConnection;
 import martenloom.edge.dispatch.RequestDispatcher;
@@ -46,7 +49,7 @@
  * shell have classes of their own; here each record is passed to the one it concerns. Everything
  * but {@link #leave} and the getters runs on the thread of the reactor.
  */
-public final class EdgeDaemon implements PeerLinks.Handler {
+public final class EdgeDaemon implements PeerLinkHandler {
     private static final long RENEW_US = 400_000;
     private static final long SAMPLE_US = 100_000;
     private static final long REPORT_US = 250_000;
@@ -96,10 +99,10 @@
     private int turn;
 
     public EdgeDaemon(Settings settings, Eventloop loop) {
-        this(settings, loop, ScaleSettings.DEFAULT);
+        this(settings, loop, ScalingSettings.DEFAULT);
     }
 
-    public EdgeDaemon(Settings settings, Eventloop loop, ScaleSettings scaling) {
+    public EdgeDaemon(Settings settings, Eventloop loop, ScalingSettings scaling) {
         this.settings = settings;
         this.loop = loop;
         replicaTable = new ReplicaTable(settings);
@@ -108,15 +111,15 @@
         home = new HomeConnection(settings, loop, this, this::renewal);
         core = new CoreClient(loop, home);
         reporting = new OverloadReporting(settings, dispatcher, this::tell);
-        load = new LoadView(replicaTable, dispatcher, settings.ip, life);
-        scaler = new ScaleRunner(dispatcher, settings.region, scaling, this::orderReplicas);
+        load = new LoadView(replicaTable, dispatcher, settings.ipAddress(), life);
+        scaler = new ScaleRunner(dispatcher, settings.region(), scaling, this::orderReplicas);
         jobs =
                 new JobRunner(
                         dispatcher,
                         core,
                         () -> duties.holdsJobs(Clocks.nowUs()),
                         (delayUs, task) -> Clocks.after(loop, delayUs, task),
-                        settings.ip);
+                        settings.ipAddress());
         shell = new ShellQueries(dispatcher, jobs, scaler, duties, this::homeLine);
     }
 
@@ -127,7 +130,7 @@
 
     /** How many edges the last sums were of. */
     public int edgesHeard() {
-        return load.whole().edges();
+        return load.whole().edgeCount();
     }
 
     /** The revision that is in force here. */
@@ -144,7 +147,8 @@
     public void start() throws IOException {
         PeerLinks.listen(
                 loop,
-                new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
+                new InetSocketAddress(
+                        InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
         HttpServer.builder(
                         loop,
@@ -152,13 +156,16 @@
                                 HttpResponse.ofCode(ready && !leaving ? 200 : 503)
                                         .withPlainText(ready && !leaving ? "ready" : "not ready")
                                         .toPromise())
-                .withListenAddress(Settings.address("Readiness", settings.need("Readiness")))
+                .withListenAddress(
+                        IpPort.parse("Readiness", settings.requiredListenAddress("Readiness")))
                 .build()
                 .listen();
         var front =
                 SimpleServer.builder(loop, socket -> new ClientConnection(loop, socket, dispatcher))
                         .withSocketSettings(SocketSettings.builder().withTcpNoDelay(true).build())
-                        .withListenAddress(Settings.address("Frontend", settings.need("Frontend")))
+                        .withListenAddress(
+                                IpPort.parse(
+                                        "Frontend", settings.requiredListenAddress("Frontend")))
                         .build();
         front.listen();
         frontend = Optional.of(front);
@@ -170,7 +177,11 @@
         Clocks.every(loop, REPORT_US, this::report);
         Clocks.every(loop, 200_000, jobs::tick);
         Clocks.every(loop, SCALE_US, this::scale);
-        RingLog.say("edge " + settings.name + " listens at " + settings.need("Frontend"));
+        RingLog.info(
+                "edge "
+                        + settings.nodeName()
+                        + " listens at "
+                        + settings.requiredListenAddress("Frontend"));
     }
 
     // ---- leaving
@@ -181,12 +192,12 @@
                 new Departure(
                         loop,
                         dispatcher,
-                        settings.bounds,
+                        settings.bounds(),
                         () -> frontend.ifPresent(SimpleServer::close));
         loop.execute(
                 () -> {
                     leaving = true;
-                    RingLog.note("leaving");
+                    RingLog.debug("leaving");
                     home.renew();
                     departure.begin();
                 });
@@ -198,23 +209,23 @@
     private byte[] renewal() {
         var now = Clocks.nowUs();
         var edge = new EdgeRecord();
-        edge.ip = settings.ip;
-        edge.name = settings.name;
-        edge.zone = settings.zone;
-        edge.region = settings.region;
-        edge.front = settings.need("Frontend");
-        edge.ready = ready;
-        edge.leaving = leaving;
-        edge.life = life;
-        edge.seq = ++renewals;
-        edge.revision = revision;
-        edge.heardUs = now;
+        edge.setIp(settings.ipAddress());
+        edge.setName(settings.nodeName());
+        edge.setZone(settings.zone());
+        edge.setRegion(settings.region());
+        edge.setFrontendAddress(settings.requiredListenAddress("Frontend"));
+        edge.setReady(ready);
+        edge.setDraining(leaving);
+        edge.setIncarnation(life);
+        edge.setSequence(++renewals);
+        edge.setConfigurationRevision(revision);
+        edge.setLastRenewalUs(now);
         var out = new RecordWriter(RecordType.EDGE_LEASE_RENEWAL);
         edge.write(out, now);
         return out.i64(now)
                 .text(duties.holder())
                 .texts(wantedDuties())
-                .texts(replicaTable.coldIn(settings.region, dispatcher.table(), now))
+                .texts(replicaTable.coldIn(settings.region(), dispatcher.table(), now))
                 .bytes();
     }
 
@@ -224,7 +235,7 @@
         scaler.tick(
                 duties.scaleGrant(now).orElse(0L),
                 load.whole(),
-                fresh && load.whole().edges() * 3 >= edgesNow * 2,
+                fresh && load.whole().edgeCount() * 3 >= edgesNow * 2,
                 now);
     }
 
@@ -265,7 +276,7 @@
         return ready && !leaving ? duties.wanted(jobsLive || jobs.busy()) : List.of();
     }
 
-    private void onNews(PeerLinks.Link link, RecordReader in) {
+    private void onNews(PeerLink link, RecordReader in) {
         var now = Clocks.nowUs();
         var sentUs = in.i64();
         var upUs = in.i64();
@@ -303,15 +314,15 @@
         }
         var table = dispatcher.table();
         var known =
-                table.services.keySet().stream()
+                table.services().keySet().stream()
                         .allMatch(service -> !replicaTable.of(service).isEmpty());
-        if (known && home.synced() && upUs > settings.beatMs * 1500L
+        if (known && home.synced() && upUs > settings.heartbeatIntervalMs() * 1500L
                 || now - firstNewsUs > 3_000_000) {
             ready = true;
             readied.complete(true);
-            RingLog.say(
+            RingLog.info(
                     "edge "
-                            + settings.name
+                            + settings.nodeName()
                             + " ready, revision "
                             + revision
                             + ", "
@@ -345,7 +356,7 @@
             revision = newRevision;
         }
         edition = newEdition;
-        RingLog.note(
+        RingLog.debug(
                 "configuration edition "
                         + newEdition
                         + " revision "
@@ -365,9 +376,9 @@
         if (whole) {
             home.onSynced();
             var known = new HashSet<String>();
-            replicas.forEach(replica -> known.add(replica.id));
+            replicas.forEach(replica -> known.add(replica.id()));
             for (var slot : List.copyOf(replicaTable.all())) {
-                if (!known.contains(slot.row.id)
+                if (!known.contains(slot.row.id())
                         && now - slot.heardUs > 10_000_000
                         && slot.attempts.isEmpty()) {
                     replicaTable.drop(slot);
@@ -380,8 +391,8 @@
 
     private void sample() {
         turn++;
-        if (RingLog.CHATTY && turn % 50 == 0) {
-            RingLog.note(
+        if (RingLog.ECHO && turn % 50 == 0) {
+            RingLog.debug(
                     "overload "
                             + shell.answer("overload").replace('\n', ';')
                             + " "
@@ -413,12 +424,12 @@
     private void tell(Overload.Report report) {
         var out = new RecordWriter(RecordType.OVERLOAD_REPORT);
         report.write(out);
-        RingLog.note("report " + report);
+        RingLog.debug("report " + report);
         home.send(out.bytes());
     }
 
     private void onReport(Overload.Report report) {
-        if (!report.region().equals(settings.region)) {
+        if (!report.region().equals(settings.region())) {
             dispatcher.reports.take(report, Clocks.nowUs());
         }
     }
@@ -426,7 +437,7 @@
     // ---- records
 
     @Override
-    public void onRecord(PeerLinks.Link link, byte[] record) {
+    public void onRecord(PeerLink link, byte[] record) {
         var in = new RecordReader(record, true);
         if (home.isCandidate(link)) {
             if (in.type() == RecordType.EDGE_LEASE_RESPONSE) {
@@ -435,9 +446,9 @@
             return;
         }
         if (OF_THE_HOME.contains(in.type()) && !home.isHome(link)) {
-            RingLog.note(
+            RingLog.debug(
                     "link "
-                            + link.peer
+                            + link.peer()
                             + ": record "
                             + in.type()
                             + " is not from the home, dropped");
@@ -445,7 +456,7 @@
         }
         switch (in.type()) {
             case RecordType.HELLO -> {
-                link.peer = in.text();
+                link.setPeer(in.text());
                 link.send(new RecordWriter(RecordType.KNOWN_PEERS).bytes());
             }
             case RecordType.KNOWN_PEERS -> {}
@@ -462,14 +473,14 @@
                             new RecordWriter(RecordType.SHELL_RESPONSE)
                                     .text(shell.answer(in.text()))
                                     .bytes());
-            default -> RingLog.note("link " + link.peer + ": unknown record " + in.type());
+            default -> RingLog.debug("link " + link.peer() + ": unknown record " + in.type());
         }
     }
 
     @Override
-    public void onClosed(PeerLinks.Link link) {
+    public void onClosed(PeerLink link) {
         core.onClosed(link);
-        RingLog.note("link " + link.peer + " closed");
+        RingLog.debug("link " + link.peer() + " closed");
     }
 
     // ---- the shell
--- a/edge/src/main/java/martenloom/edge/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/HomeConnection.java
@@ -15,8 +15,11 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.OutgoingPeerLink;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 
 /**
@@ -47,11 +50,11 @@
 
     private final Settings settings;
     private final Eventloop loop;
-    private final PeerLinks.Handler handler;
+    private final PeerLinkHandler handler;
     private final Supplier<byte[]> renewal;
     private final Set<String> cores = new LinkedHashSet<>();
     private final Map<String, Long> avoidedUntilUs = new HashMap<>();
-    private Optional<PeerLinks.Dial> home = Optional.empty();
+    private Optional<OutgoingPeerLink> home = Optional.empty();
     private String homeIp = "";
 
     /** The last moment at which the home was picked or its knowledge was fresh. */
@@ -64,7 +67,7 @@
      * A daemon that is asked whether it would be a better home; the present one is kept until it
      * says so.
      */
-    private Optional<PeerLinks.Dial> candidate = Optional.empty();
+    private Optional<OutgoingPeerLink> candidate = Optional.empty();
 
     private String candidateIp = "";
     private long candidateSinceUs;
@@ -76,10 +79,7 @@
      * @param renewal writes the record by which this edge subscribes and renews its subscription
      */
     HomeConnection(
-            Settings settings,
-            Eventloop loop,
-            PeerLinks.Handler handler,
-            Supplier<byte[]> renewal) {
+            Settings settings, Eventloop loop, PeerLinkHandler handler, Supplier<byte[]> renewal) {
         this.settings = settings;
         this.loop = loop;
         this.handler = handler;
@@ -103,18 +103,18 @@
     }
 
     /** The link to the home while it is up. */
-    Optional<PeerLinks.Link> link() {
-        return home.flatMap(PeerLinks.Dial::link);
+    Optional<PeerLink> link() {
+        return home.flatMap(OutgoingPeerLink::link);
     }
 
     /** Whether this is the link to the home. */
-    boolean isHome(PeerLinks.Link link) {
+    boolean isHome(PeerLink link) {
         return link().filter(known -> known == link).isPresent();
     }
 
     /** Whether this is the link to the candidate. */
-    boolean isCandidate(PeerLinks.Link link) {
-        return candidate.flatMap(PeerLinks.Dial::link).filter(known -> known == link).isPresent();
+    boolean isCandidate(PeerLink link) {
+        return candidate.flatMap(OutgoingPeerLink::link).filter(known -> known == link).isPresent();
     }
 
     /** Sends a record to the home; it is lost when the link is down. */
@@ -151,8 +151,8 @@
         }
     }
 
-    private void renewOn(PeerLinks.Link link, long now) {
-        if (now - link.heardUs > SILENCE_US) {
+    private void renewOn(PeerLink link, long now) {
+        if (now - link.lastReceivedUs() > SILENCE_US) {
             leaveHome("silent");
             return;
         }
@@ -195,7 +195,7 @@
     }
 
     private void addSeeds() {
-        settings.seeds.forEach(seed -> cores.add(seed.substring(0, seed.lastIndexOf(':'))));
+        settings.seedNodes().forEach(seed -> cores.add(seed.substring(0, seed.lastIndexOf(':'))));
     }
 
     /** The core daemons in the order in which this edge would take them as its home. */
@@ -205,7 +205,7 @@
         homes.sort(
                 Comparator.<String>comparingInt(core -> avoided(core, now) ? 1 : 0)
                         .thenComparing(core -> !inOwnZone(core))
-                        .thenComparingInt(core -> (core + settings.ip).hashCode()));
+                        .thenComparingInt(core -> (core + settings.ipAddress()).hashCode()));
         return homes;
     }
 
@@ -218,13 +218,14 @@
     }
 
     private boolean inOwnZone(String ip) {
-        return ip.startsWith(settings.ip.substring(0, settings.ip.lastIndexOf('.') + 1));
+        return ip.startsWith(
+                settings.ipAddress().substring(0, settings.ipAddress().lastIndexOf('.') + 1));
     }
 
-    private PeerLinks.Dial dial(String ip) {
-        return new PeerLinks.Dial(
+    private OutgoingPeerLink dial(String ip) {
+        return new OutgoingPeerLink(
                 loop,
-                Settings.address("home", ip + ":" + settings.portLow),
+                IpPort.parse("home", ip + ":" + settings.firstInternalPort()),
                 REDIAL_US,
                 link -> link.send(renewal.get()),
                 handler);
@@ -244,10 +245,10 @@
     }
 
     private void leaveHome(String why) {
-        RingLog.note("home " + homeIp + " is left: " + why);
+        RingLog.debug("home " + homeIp + " is left: " + why);
         avoid(homeIp);
         dropCandidate();
-        home.ifPresent(PeerLinks.Dial::stop);
+        home.ifPresent(OutgoingPeerLink::stop);
         pickHome();
     }
 
@@ -269,12 +270,12 @@
     }
 
     private void dropCandidate() {
-        candidate.ifPresent(PeerLinks.Dial::stop);
+        candidate.ifPresent(OutgoingPeerLink::stop);
         candidate = Optional.empty();
     }
 
     private void passOverCandidate(String why) {
-        RingLog.note("home " + homeIp + " is kept: " + candidateIp + " is " + why);
+        RingLog.debug("home " + homeIp + " is kept: " + candidateIp + " is " + why);
         avoid(candidateIp);
         dropCandidate();
     }
@@ -284,7 +285,7 @@
      * is asked for.
      */
     private void takeCandidate() {
-        RingLog.note("home " + homeIp + " is left for " + candidateIp);
+        RingLog.debug("home " + homeIp + " is left for " + candidateIp);
         avoid(homeIp);
         var old = home;
         home = candidate;
@@ -292,7 +293,7 @@
         homePickedUs = Clocks.nowUs();
         homeFreshUs = homePickedUs;
         candidate = Optional.empty();
-        old.ifPresent(PeerLinks.Dial::stop);
+        old.ifPresent(OutgoingPeerLink::stop);
         requestWholeState();
     }
 }
--- a/edge/src/main/java/martenloom/edge/LoadView.java
+++ b/edge/src/main/java/martenloom/edge/LoadView.java
@@ -55,10 +55,10 @@
             var bad = s.health.bad(now);
             var ok = s.health.ok(now);
             if (s.mine > 0 || doubt || bad + ok > 0) {
-                var l = t.put(s.row.id, s.mine, s.unread, doubt);
-                l.ok = ok;
-                l.bad = bad;
-                l.heard = !doubt && now - s.heardUs < HEARD_US ? 1 : 0;
+                var l = t.addReplica(s.row.id(), s.mine, s.unread, doubt);
+                l.setSuccesses(ok);
+                l.setFailures(bad);
+                l.setHearingEdges(!doubt && now - s.heardUs < HEARD_US ? 1 : 0);
             }
         }
         dispatcher.inFlight(t);
@@ -84,17 +84,18 @@
         dispatcher.places.read(in);
         var zone = LoadSummary.read(in);
         for (var s : replicaTable.all()) {
-            var a = whole.load(s.row.id);
-            var m = mine.load(s.row.id);
-            var h = zone.load(s.row.id);
+            var a = whole.replicaLoad(s.row.id());
+            var m = mine.replicaLoad(s.row.id());
+            var h = zone.replicaLoad(s.row.id());
             s.others(
-                    a.inHand - m.inHand,
-                    a.unread - m.unread,
-                    h.doubts - m.doubts,
-                    h.heard - m.heard,
+                    a.inFlight() - m.inFlight(),
+                    a.pendingPrefillTokens() - m.pendingPrefillTokens(),
+                    h.suspectingEdges() - m.suspectingEdges(),
+                    h.hearingEdges() - m.hearingEdges(),
                     now);
-            if (a.bad > 0) {
-                replicaTable.judge(s, a.ok, a.bad, h.ok, h.bad, now);
+            if (a.failures() > 0) {
+                replicaTable.judge(
+                        s, a.successes(), a.failures(), h.successes(), h.failures(), now);
             }
         }
     }
--- a/edge/src/main/java/martenloom/edge/OverloadReporting.java
+++ b/edge/src/main/java/martenloom/edge/OverloadReporting.java
@@ -40,7 +40,7 @@
                     r.observe(
                                     key.substring(0, i),
                                     key.substring(i + 1),
-                                    settings.ip,
+                                    settings.ipAddress(),
                                     pressure(key.substring(i + 1), now))
                             .filter(x -> due(x, now))
                             .ifPresent(tell);
@@ -73,33 +73,39 @@
     double pressure(String model, long now) {
         var aim = Long.MAX_VALUE;
         var t = dispatcher.table();
-        for (var r : t.routes) {
-            var s = r.shares.isEmpty() ? null : t.services.get(r.shares.get(0).service);
-            if (s != null && s.engine && s.model.equals(model) && r.aimUs > 0) {
-                aim = Math.min(aim, r.aimUs);
+        for (var r : t.routes()) {
+            var s =
+                    r.trafficSplit().isEmpty()
+                            ? null
+                            : t.services().get(r.trafficSplit().get(0).service());
+            if (s != null
+                    && s.inferenceEngine()
+                    && s.model().equals(model)
+                    && r.latencyTargetUs() > 0) {
+                aim = Math.min(aim, r.latencyTargetUs());
             }
         }
         var sum = 0.0;
         var n = 0;
         var known = 0;
         for (var s : dispatcher.replicaTable.all()) {
-            var svc = t.services.get(s.row.service);
+            var svc = t.services().get(s.row.service());
             if (svc == null
-                    || !svc.engine
-                    || !svc.model.equals(model)
-                    || !s.region.equals(settings.region)) {
+                    || !svc.inferenceEngine()
+                    || !svc.model().equals(model)
+                    || !s.region.equals(settings.region())) {
                 continue;
             }
             known++;
-            if (s.row.gone
-                    || s.row.draining
-                    || s.row.silent
+            if (s.row.ended()
+                    || s.row.draining()
+                    || s.row.unreachable()
                     || s.resting
-                    || dispatcher.evacuated().contains(s.row.zone)) {
+                    || dispatcher.evacuated().contains(s.row.zone())) {
                 continue;
             }
             var in = s.mine + s.othersInHand(now);
-            var cap = Math.max(1, s.row.capacity);
+            var cap = Math.max(1, s.row.capacity());
             var us =
                     20_000
                             + (s.unread + s.othersUnread(now)) / s.rate * 1000
--- a/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
+++ b/edge/src/main/java/martenloom/edge/RoleLeaseClient.java
@@ -7,7 +7,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.lease.HeldLeases;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * The duties of this edge: which there are in its region, which it asks the core for, and which it
@@ -31,21 +31,21 @@
      * other.
      */
     String holder() {
-        return settings.ip + "#" + Long.toHexString(life);
+        return settings.ipAddress() + "#" + Long.toHexString(life);
     }
 
     /** The duty of running the region's deferred jobs. */
     String jobDuty() {
-        return "jobs/" + settings.region;
+        return "jobs/" + settings.region();
     }
 
     /** The duty of ordering how many replicas the region's services have. */
     String scaleDuty() {
-        return "scale/" + settings.region;
+        return "scale/" + settings.region();
     }
 
     private String reportDuty(String model) {
-        return settings.region + "/" + model;
+        return settings.region() + "/" + model;
     }
 
     /**
@@ -56,9 +56,9 @@
      */
     Collection<String> wanted(boolean jobsExist) {
         var wanted = new TreeSet<String>();
-        dispatcher.table().services.values().stream()
-                .filter(service -> service.engine && hasReplicaInRegion(service))
-                .forEach(service -> wanted.add(reportDuty(service.model)));
+        dispatcher.table().services().values().stream()
+                .filter(service -> service.inferenceEngine() && hasReplicaInRegion(service))
+                .forEach(service -> wanted.add(reportDuty(service.model())));
         if (!wanted.isEmpty()) {
             wanted.add(scaleDuty());
         }
@@ -68,9 +68,9 @@
         return wanted;
     }
 
-    private boolean hasReplicaInRegion(RouteTable.Service service) {
-        return dispatcher.replicaTable.of(service.name).stream()
-                .anyMatch(slot -> slot.region.equals(settings.region));
+    private boolean hasReplicaInRegion(ServiceSpec service) {
+        return dispatcher.replicaTable.of(service.name()).stream()
+                .anyMatch(slot -> slot.region.equals(settings.region()));
     }
 
     /**
--- a/edge/src/main/java/martenloom/edge/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/ShellQueries.java
@@ -52,13 +52,13 @@
             case "overload" -> overload(now);
             case "leases" -> duties.text(now);
             case "replicas" -> replicas(now);
-            case "configuration" -> RoutingLanguage.write(dispatcher.table());
+            case "configuration" -> RoutingLanguage.print(dispatcher.table());
             case "home" -> home.get();
             case "jobs" -> jobs.text();
             case "scaling" -> scaler.text(now);
             case "places" -> dispatcher.places.text(PLACE_LINES);
-            case "traffic" -> LinkTraffic.text();
-            case "log" -> RingLog.tail(LOG_LINES);
+            case "traffic" -> LinkTraffic.report();
+            case "log" -> RingLog.recent(LOG_LINES);
             default ->
                     "? counters overload leases replicas configuration home jobs scaling"
                             + " places traffic log\n";
@@ -138,16 +138,16 @@
     private static String replica(ReplicaTable.Slot slot, long now) {
         return String.format(
                 "%s %s %s in-hand %d others %d unread %d rate %.1f work %d us rtt %d us%s%s\n",
-                slot.row.id,
-                slot.row.service,
-                slot.row.zone,
+                slot.row.id(),
+                slot.row.service(),
+                slot.row.zone(),
                 slot.mine,
                 slot.othersInHand(now),
                 slot.unread,
                 slot.rate,
                 (long) slot.workUs,
                 (long) slot.rttUs,
-                slot.row.draining ? " draining" : "",
+                slot.row.draining() ? " draining" : "",
                 now < slot.suspectUntilUs ? " suspect" : "");
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -126,7 +126,7 @@
      */
     private Optional<ReplicaConnection> takeIdle() {
         var trustUs =
-                request.route.repeatable()
+                request.route.retriable()
                         ? slot.idleTrustUs()
                         : Math.min(ONCE_IDLE_US, slot.idleTrustUs());
         for (var i = slot.idle.iterator(); i.hasNext(); ) {
@@ -156,7 +156,7 @@
         h.dropHop();
         h.drop("Expect");
         h.set("X-Time-Remaining", String.valueOf(left));
-        h.set("X-Target-Instance", slot.row.id);
+        h.set("X-Target-Instance", slot.row.id());
         if (!request.model.isEmpty()) {
             h.set(
                     "X-Request-Priority",
@@ -165,7 +165,7 @@
                                     ? 8
                                     : request.deferred > 0
                                             ? 9
-                                            : Math.min(7, request.route.rank * 3)));
+                                            : Math.min(7, request.route.priority() * 3)));
         }
         if (!request.lastEvent.isEmpty()) {
             h.set("Last-Event-Id", request.lastEvent);
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptResults.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptResults.java
@@ -163,12 +163,12 @@
         var now = Clocks.nowUs();
         learnFromWhole(attempt, head.status(), now);
         if (head.status() >= 500
-                && request.route.repeatable()
-                && request.sent < request.route.tries) {
+                && request.route.retriable()
+                && request.sent < request.route.maxAttempts()) {
             request.mayHaveRun = true;
-            request.tried.add(attempt.slot.row.id);
+            request.tried.add(attempt.slot.row.id());
             again(request);
-        } else if (promisesUnrun(head.status()) && !request.route.repeatable()) {
+        } else if (promisesUnrun(head.status()) && !request.route.retriable()) {
             request.mayHaveRun = true;
             completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
         } else {
@@ -209,8 +209,13 @@
         attempt.uncount();
         var request = attempt.request;
         var now = Clocks.nowUs();
-        RingLog.note(
-                "attempt of " + request.id + " at " + attempt.slot.row.id + " failed: " + failure);
+        RingLog.debug(
+                "attempt of "
+                        + request.id
+                        + " at "
+                        + attempt.slot.row.id()
+                        + " failed: "
+                        + failure);
         var expired = now >= request.deadlineUs - LEAST_LEFT_US;
         learnFromFailure(attempt, failure, head, expired, now);
         if (request.done()) {
@@ -220,7 +225,7 @@
         if (failure == Attempt.Failure.UNSENT) {
             followUnsent(attempt, expired, now);
         } else {
-            request.tried.add(attempt.slot.row.id);
+            request.tried.add(attempt.slot.row.id());
             followSent(request, failure);
         }
     }
@@ -250,20 +255,20 @@
     private void followUnsent(Attempt attempt, boolean expired, long now) {
         var request = attempt.request;
         if (expired) {
-            request.tried.add(attempt.slot.row.id);
+            request.tried.add(attempt.slot.row.id());
             completion.onDeadline(request);
         } else {
-            request.tried.remove(attempt.slot.row.id);
+            request.tried.remove(attempt.slot.row.id());
             retryOrWait(request, now);
         }
     }
 
     private void followSent(Request request, Attempt.Failure failure) {
-        if (failure == Attempt.Failure.CUT && !request.route.resumable) {
+        if (failure == Attempt.Failure.CUT && !request.route.resumable()) {
             completion.cutOff(request);
-        } else if (failure != Attempt.Failure.UNRUN && !request.route.repeatable()) {
+        } else if (failure != Attempt.Failure.UNRUN && !request.route.retriable()) {
             completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
-        } else if (request.sent >= request.route.tries) {
+        } else if (request.sent >= request.route.maxAttempts()) {
             completion.giveUp(request);
         } else {
             again(request);
--- a/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
@@ -100,7 +100,7 @@
             wire.used(2);
         }
         var e = Head.end(wire.buf, wire.from + 3, wire.to);
-        var most = dispatcher.table().limits.headBytes;
+        var most = dispatcher.table().limits().maxHeaderBytes();
         if (e < 0 ? wire.size() > most : e - wire.from > most) {
             throw new Head.BadHead(431, "head too large");
         }
@@ -115,7 +115,7 @@
             throw new Head.BadHead(400, "host");
         }
         var n = head.length(400);
-        if (n > dispatcher.table().limits.bodyBytes) {
+        if (n > dispatcher.table().limits().maxBodyBytes()) {
             throw new Head.BadHead(413, "body too large");
         }
         closeAfter = head.closes();
@@ -137,7 +137,7 @@
             var c = chunks.get();
             var n = c.take(wire.buf, wire.from, wire.to, (b, f, k) -> body.write(b, f, k));
             wire.used(n - wire.from);
-            if (body.size() > dispatcher.table().limits.bodyBytes) {
+            if (body.size() > dispatcher.table().limits().maxBodyBytes()) {
                 throw new Head.BadHead(413, "body too large");
             }
             if (c.done()) {
@@ -275,17 +275,19 @@
 
     /** Called now and then: ends what is idle or too slow. */
     public void check(long now) {
-        var l = dispatcher.table().limits;
+        var l = dispatcher.table().limits();
         var age = now - sinceUs;
         if (state == State.HEAD
                 && wire.size() == 0
                 && age
                         > (dispatcher.leaving()
                                 ? IDLE_WHILE_LEAVING_US
-                                : l.idleMs * 1000L + 1_000_000)) {
+                                : l.idleTimeoutMs() * 1000L + 1_000_000)) {
             wire.close();
-        } else if (state == State.HEAD && wire.size() > 0 && age > l.headMs * 1000L + 500_000
-                || state == State.BODY && age > l.idleMs * 1000L) {
+        } else if (state == State.HEAD
+                        && wire.size() > 0
+                        && age > l.headerTimeoutMs() * 1000L + 500_000
+                || state == State.BODY && age > l.idleTimeoutMs() * 1000L) {
             refuse(408);
         } else if (state == State.ENDING && age > 5_000_000) {
             wire.close();
--- a/edge/src/main/java/martenloom/edge/dispatch/LateRequestPolicy.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/LateRequestPolicy.java
@@ -1,6 +1,7 @@
 package martenloom.edge.dispatch;
 
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
+import martenloom.routing.route.RouteKind;
 
 /**
  * Decides what an edge that leaves still takes. Until it is told when everything in hand will be
@@ -19,22 +20,23 @@
     /** Told of every request that was answered in full. */
     void onAnswered(Request e, long now) {
         if (e.deferred == 0) {
-            longest.took(e.route.name, now - e.arrivedUs, now);
+            longest.took(e.route.name(), now - e.arrivedUs, now);
         }
     }
 
     /** What stands before the client of a new request on this route. */
-    Request.Sink sink(ClientConnection client, RouteTable.Route route, long now) {
-        if (route.kind != RouteTable.Kind.STREAMING || now + route.timeoutUs <= endAllUs) {
+    Request.Sink sink(ClientConnection client, Route route, long now) {
+        if (route.kind() != RouteKind.STREAMING || now + route.timeoutUs() <= endAllUs) {
             return client;
         }
         return new WithheldStream(
-                client, ClientConnection.plain(route.repeatable() ? 503 : 504, ""));
+                client, ClientConnection.plain(route.retriable() ? 503 : 504, ""));
     }
 
     /** Whether a request comes too late to be finished, and has to be refused. */
     boolean tooLate(Request e, long now) {
         return e.deadlineUs > endAllUs
-                && now + longest.longestUs(e.route.name, e.route.aimUs, now) > endAllUs;
+                && now + longest.longestUs(e.route.name(), e.route.latencyTargetUs(), now)
+                        > endAllUs;
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaConnection.java
@@ -241,8 +241,8 @@
                         && skips == 0
                         && wire.size() == 0
                         && wire.isOpen()
-                        && !slot.row.gone
-                        && !slot.row.draining;
+                        && !slot.row.ended()
+                        && !slot.row.draining();
         if (again) {
             wire.hold(false);
             idleSinceUs = Clocks.nowUs();
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -15,7 +15,9 @@
 import martenloom.edge.replica.ReplicaHealth;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.scaling.ScaleRunner;
+import martenloom.routing.route.Route;
 import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * The owner of the question which replica an request goes to: the table of routes, who is evacuated
@@ -74,9 +76,11 @@
     }
 
     void markResting(ReplicaTable.Slot s) {
-        var svc = Optional.ofNullable(table.services.get(s.row.service)).filter(x -> x.engine);
-        var p = svc.flatMap(x -> Optional.ofNullable(placed.get(s.region + "/" + x.model)));
-        s.resting = p.isPresent() && (p.get().pinned() || p.get().resting().contains(s.row.id));
+        var svc =
+                Optional.ofNullable(table.services().get(s.row.service()))
+                        .filter(x -> x.inferenceEngine());
+        var p = svc.flatMap(x -> Optional.ofNullable(placed.get(s.region + "/" + x.model())));
+        s.resting = p.isPresent() && (p.get().pinned() || p.get().resting().contains(s.row.id()));
     }
 
     /**
@@ -91,19 +95,19 @@
                         .filter(
                                 s ->
                                         e.route.allows(s.region)
-                                                && !s.row.draining
-                                                && !s.row.silent
-                                                && !evacuated.contains(s.row.zone))
+                                                && !s.row.draining()
+                                                && !s.row.unreachable()
+                                                && !evacuated.contains(s.row.zone()))
                         .toList();
         return !l.isEmpty() && l.stream().allMatch(s -> s.resting);
     }
 
     void onEvacuated(Set<String> zones, long now) {
         for (var s : replicaTable.all()) {
-            if (evacuated.contains(s.row.zone) && !zones.contains(s.row.zone)) {
+            if (evacuated.contains(s.row.zone()) && !zones.contains(s.row.zone())) {
                 var w =
-                        Optional.ofNullable(table.services.get(s.row.service))
-                                .map(x -> x.warmUs)
+                        Optional.ofNullable(table.services().get(s.row.service()))
+                                .map(x -> x.warmupUs())
                                 .orElse(0L);
                 s.coldFloorUs = w == 0 ? 0 : now + w + 1_500_000;
             }
@@ -130,12 +134,12 @@
      * requests need.
      */
     boolean jobRoom(String route, int urgency) {
-        var r = table.routes.stream().filter(x -> x.name.equals(route)).findFirst();
+        var r = table.routes().stream().filter(x -> x.name().equals(route)).findFirst();
         return r.isPresent()
-                && r.get().shares.stream()
+                && r.get().trafficSplit().stream()
                         .anyMatch(
                                 s ->
-                                        replicaTable.of(s.service).stream()
+                                        replicaTable.of(s.service()).stream()
                                                 .anyMatch(
                                                         x ->
                                                                 jobRoom(
@@ -145,18 +149,18 @@
                                                                         Clocks.nowUs())));
     }
 
-    private boolean jobRoom(ReplicaTable.Slot s, RouteTable.Route r, int urgency, long now) {
+    private boolean jobRoom(ReplicaTable.Slot s, Route r, int urgency, long now) {
         var in = s.mine + s.othersInHand(now);
         var ahead = (s.unread + s.othersUnread(now)) / s.rate * 1000;
         return r.allows(s.region)
-                && !s.row.draining
-                && !s.row.silent
-                && !s.row.gone
+                && !s.row.draining()
+                && !s.row.unreachable()
+                && !s.row.ended()
                 && now >= s.suspectUntilUs
-                && !evacuated.contains(s.row.zone)
+                && !evacuated.contains(s.row.zone())
                 && (s.warm(now) || urgency > 2)
-                && in < Math.max(1, s.row.capacity * JOB_FILL[urgency])
-                && ahead < r.aimUs * JOB_TIME[urgency];
+                && in < Math.max(1, s.row.capacity() * JOB_FILL[urgency])
+                && ahead < r.latencyTargetUs() * JOB_TIME[urgency];
     }
 
     // ---- choice
@@ -171,14 +175,14 @@
         }
     }
 
-    private boolean usable(ReplicaTable.Slot s, RouteTable.Service svc, Request e, long now) {
+    private boolean usable(ReplicaTable.Slot s, ServiceSpec svc, Request e, long now) {
         var r = s.row;
-        if (r.gone
-                || r.draining
-                || r.silent
-                || r.leavesAtUs != Long.MAX_VALUE
-                || evacuated.contains(r.zone)
-                || e.tried.contains(r.id)) {
+        if (r.ended()
+                || r.draining()
+                || r.unreachable()
+                || r.drainDeadlineUs() != Long.MAX_VALUE
+                || evacuated.contains(r.zone())
+                || e.tried.contains(r.id())) {
             return false;
         }
         if (s.resting) {
@@ -196,38 +200,36 @@
         if (s.doubtful && s.mine > 0) {
             return false;
         }
-        if (!s.warm(now) && svc.warmPerS > 0) {
+        if (!s.warm(now) && svc.warmupRequestsPerS() > 0) {
             if (s.coldSends(now) + s.opening() >= coldShare(s, svc, now)) {
                 return false;
             }
         }
-        var conns = Math.max(1, (int) (svc.maxConnections * 0.95 / edges));
+        var conns = Math.max(1, (int) (svc.maxConnections() * 0.95 / edges));
         if (s.idle.isEmpty() && s.open >= conns) {
             return false;
         }
         var in = s.mine + s.othersInHand(now);
-        return in < (svc.engine ? r.capacity * 1.5 : r.capacity * 2.5);
+        return in < (svc.inferenceEngine() ? r.capacity() * 1.5 : r.capacity() * 2.5);
     }
 
     /**
      * An even share by the most edges ever, as long as that is one or more; past that, what the
      * homes lent.
      */
-    private int coldShare(ReplicaTable.Slot s, RouteTable.Service svc, long now) {
-        var all = svc.coldPerS(settings.bounds.warmOverage, settings.bounds.warmSlack);
-        return edges <= all ? all / edges : replicaTable.coldShare(s.row.id, now);
+    private int coldShare(ReplicaTable.Slot s, ServiceSpec svc, long now) {
+        var all =
+                svc.coldRequestsPerS(
+                        settings.bounds().warmupOverage(), settings.bounds().warmupSlack());
+        return edges <= all ? all / edges : replicaTable.coldShare(s.row.id(), now);
     }
 
     private Pick best(
-            List<ReplicaTable.Slot> slots,
-            RouteTable.Service svc,
-            Request e,
-            String region,
-            long now) {
+            List<ReplicaTable.Slot> slots, ServiceSpec svc, Request e, String region, long now) {
         var best = Optional.<ReplicaTable.Slot>empty();
         var cost = Double.MAX_VALUE;
         var bonus =
-                svc.engine && e.sizes.size() > 1
+                svc.inferenceEngine() && e.sizes.size() > 1
                         ? topOf(slots, e, region)
                         : Optional.<ReplicaTable.Slot>empty();
         for (var s : slots) {
@@ -253,9 +255,9 @@
      * batches are not slowed so soon. The measure is the kind's usual size: the largest of a kind
      * are not kept out before the others.
      */
-    private boolean crowded(ReplicaTable.Slot s, RouteTable.Service svc, Request e, long now) {
-        var most = Math.max(s.row.capacity * CROWD, Math.min(s.row.capacity - 2, CROWD_LEAST));
-        return svc.engine
+    private boolean crowded(ReplicaTable.Slot s, ServiceSpec svc, Request e, long now) {
+        var most = Math.max(s.row.capacity() * CROWD, Math.min(s.row.capacity() - 2, CROWD_LEAST));
+        return svc.inferenceEngine()
                 && replicaTable.usual(e.route) >= LARGE_KIND
                 && s.mine + s.othersInHand(now) > most;
     }
@@ -265,7 +267,7 @@
     }
 
     private static int weight(Request e, ReplicaTable.Slot s) {
-        return mix(sharedPart(e).hashCode() * 31 + s.row.id.hashCode());
+        return mix(sharedPart(e).hashCode() * 31 + s.row.id().hashCode());
     }
 
     /**
@@ -276,7 +278,10 @@
         var best = Optional.<ReplicaTable.Slot>empty();
         var top = Integer.MIN_VALUE;
         for (var s : slots) {
-            if (s.region.equals(region) && !s.row.draining && !s.row.silent && !s.resting) {
+            if (s.region.equals(region)
+                    && !s.row.draining()
+                    && !s.row.unreachable()
+                    && !s.resting) {
                 var h = weight(e, s);
                 if (h > top) {
                     top = h;
@@ -294,7 +299,7 @@
     boolean keeps(ReplicaTable.Slot s, Request e) {
         return e.sizes.size() > 1
                 && e.sharedTokens() >= LARGE
-                && places.prefixOwner(sharedPart(e)).filter(s.row.id::equals).isPresent();
+                && places.prefixOwner(sharedPart(e)).filter(s.row.id()::equals).isPresent();
     }
 
     /**
@@ -303,9 +308,9 @@
      */
     private static double roomOfPrefixOwner(Request e, long now) {
         var gone = now - e.arrivedUs;
-        return gone > e.route.aimUs * 0.5
+        return gone > e.route.latencyTargetUs() * 0.5
                 ? (e.deadlineUs - now) * 0.5
-                : e.route.aimUs * 0.85 - gone;
+                : e.route.latencyTargetUs() * 0.85 - gone;
     }
 
     /**
@@ -315,14 +320,17 @@
      */
     private Optional<ReplicaTable.Slot> prefixOwner(
             List<ReplicaTable.Slot> slots,
-            RouteTable.Service svc,
+            ServiceSpec svc,
             Request e,
             double room,
             List<String> keptAway,
             long now) {
         var l = new ArrayList<ReplicaTable.Slot>();
         for (var s : slots) {
-            if (e.route.allows(s.region) && !s.row.draining && !s.row.silent && !s.resting) {
+            if (e.route.allows(s.region)
+                    && !s.row.draining()
+                    && !s.row.unreachable()
+                    && !s.resting) {
                 l.add(s);
             }
         }
@@ -348,8 +356,8 @@
                             > (kept && i == 0 ? roomOfPrefixOwner(e, now) : room)) {
                 continue;
             }
-            var away = !s.region.equals(settings.region);
-            var k = s.region + "/" + svc.model;
+            var away = !s.region.equals(settings.region());
+            var k = s.region + "/" + svc.model();
             if (away && e.sent == 0 && !keptAway.contains(k) && reports.select(k, now)) {
                 keptAway.add(k);
             }
@@ -376,8 +384,8 @@
             }
         }
         Collections.rotate(l, turn++);
-        if (l.remove(settings.region)) {
-            l.add(0, settings.region);
+        if (l.remove(settings.region())) {
+            l.add(0, settings.region());
         }
         return l;
     }
@@ -387,35 +395,33 @@
      * the most room.
      */
     Optional<ReplicaTable.Slot> choose(Request e, long now) {
-        var svc =
-                Optional.ofNullable(table.services.get(e.service))
-                        .orElseGet(RouteTable.Service::new);
+        var svc = Optional.ofNullable(table.services().get(e.service)).orElse(ServiceSpec.UNKNOWN);
         var slots = replicaTable.of(e.service);
-        var room = e.route.aimUs * 0.7 - (now - e.arrivedUs);
+        var room = e.route.latencyTargetUs() * 0.7 - (now - e.arrivedUs);
         var fallback = new Pick(Optional.empty(), Double.MAX_VALUE);
         var keptAway = new ArrayList<String>();
-        if (svc.engine && e.sharedTokens() >= LARGE) {
+        if (svc.inferenceEngine() && e.sharedTokens() >= LARGE) {
             var k = prefixOwner(slots, svc, e, room, keptAway, now);
             if (k.isPresent()) {
-                return chosen(new Pick(k, 0), keptAway, !k.get().region.equals(settings.region));
+                return chosen(new Pick(k, 0), keptAway, !k.get().region.equals(settings.region()));
             }
         }
         var home = regions(slots, e);
         for (var g : home) {
-            var away = !g.equals(settings.region);
+            var away = !g.equals(settings.region());
             var p = best(slots, svc, e, g, now);
             if (p.slot.isEmpty()) {
                 continue;
             }
-            var k = g + "/" + svc.model;
+            var k = g + "/" + svc.model();
             if (away && keptAway.contains(k)) {
                 continue;
             }
-            if (away && e.sent == 0 && svc.engine && reports.select(k, now)) {
+            if (away && e.sent == 0 && svc.inferenceEngine() && reports.select(k, now)) {
                 keptAway.add(k);
                 continue;
             }
-            if (p.costUs < room && (!away || home.contains(settings.region))) {
+            if (p.costUs < room && (!away || home.contains(settings.region()))) {
                 return chosen(p, keptAway, away);
             }
             if (p.costUs < fallback.costUs) {
@@ -423,8 +429,10 @@
             }
         }
         if (fallback.slot.isPresent()
-                && fallback.costUs < Math.min(e.route.aimUs * 1.5, (e.deadlineUs - now) * 0.6)) {
-            return chosen(fallback, keptAway, !fallback.slot.get().region.equals(settings.region));
+                && fallback.costUs
+                        < Math.min(e.route.latencyTargetUs() * 1.5, (e.deadlineUs - now) * 0.6)) {
+            return chosen(
+                    fallback, keptAway, !fallback.slot.get().region.equals(settings.region()));
         }
         if (e.keptAway.isEmpty()) {
             keptAway.forEach(k -> reports.at(k).held++);
--- a/edge/src/main/java/martenloom/edge/dispatch/Request.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Request.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import martenloom.common.clock.Clocks;
 import martenloom.edge.http.Head;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
 
 /**
  * One request of a client on its way through the edge: what was asked, how long is left, which
@@ -40,7 +40,7 @@
 
     public final Head head;
     public final byte[] body;
-    public final RouteTable.Route route;
+    public final Route route;
     public final String service;
     public final String id;
     public final long arrivedUs;
@@ -70,8 +70,7 @@
      * The client's time runs from when its request began to come in, the route's from when it was
      * whole.
      */
-    public Request(
-            Head h, byte[] b, RouteTable.Route r, String service, Sink s, long beganUs, long now) {
+    public Request(Head h, byte[] b, Route r, String service, Sink s, long beganUs, long now) {
         head = h;
         body = b;
         route = r;
@@ -81,7 +80,7 @@
         arrivedUs = now;
         var left = millis(h.get("X-Time-Remaining"));
         clientUs = left >= 0 ? beganUs + left * 1000 : Long.MAX_VALUE;
-        deadlineUs = Math.min(clientUs, now + r.timeoutUs);
+        deadlineUs = Math.min(clientUs, now + r.timeoutUs());
         model = h.get("X-Model");
         lastEvent = h.get("Last-Event-Id");
         prompt();
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
@@ -9,6 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.common.clock.Clocks;
+import martenloom.common.clock.ReactorTimer;
 import martenloom.edge.overload.Overload;
 
 /**
@@ -31,7 +32,7 @@
     private final RequestDispatcher.Counters counters;
     private final Overload.Receiver reports;
     private final SpreadCounter spread;
-    private final Map<Request, Clocks.Timer> deadlines = new HashMap<>();
+    private final Map<Request, ReactorTimer> deadlines = new HashMap<>();
 
     RequestCompletion(
             Eventloop loop,
@@ -58,7 +59,7 @@
     /** Ends a request whose answer is passed on by the caller. */
     void finish(Request request) {
         request.become(Request.State.DONE);
-        Optional.ofNullable(deadlines.remove(request)).ifPresent(Clocks.Timer::cancel);
+        Optional.ofNullable(deadlines.remove(request)).ifPresent(ReactorTimer::cancel);
         if (request.sink instanceof ClientConnection client) {
             client.request = Optional.empty();
         }
@@ -79,7 +80,7 @@
             cutOff(request);
             return;
         }
-        if (request.mayHaveRun && !request.route.repeatable()) {
+        if (request.mayHaveRun && !request.route.retriable()) {
             fail(request, MAY_HAVE_RUN);
             return;
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -17,6 +17,7 @@
 import martenloom.edge.replica.PrefixOwners;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.scaling.ScaleRunner;
+import martenloom.routing.route.Route;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -66,9 +67,9 @@
         results = new AttemptResults(loop, replicaTable, completion, late, counters, this);
         budget =
                 new RetryBudget(
-                        settings.bounds.retryRatio,
-                        settings.bounds.retryWindowS,
-                        settings.bounds.retrySlack);
+                        settings.bounds().retryBudgetRatio(),
+                        settings.bounds().retryWindowS(),
+                        settings.bounds().retryBudgetSlack());
     }
 
     // ---- what the core tells
@@ -164,12 +165,14 @@
      */
     public void inFlight(LoadSummary sums) {
         for (var request : completion.openRequests()) {
-            var service = table().services.get(request.service);
-            if (request.deferred == 0 && service != null && service.engine) {
-                sums.fly(
-                        request.attempt.map(attempt -> attempt.slot.region).orElse(settings.region)
+            var service = table().services().get(request.service);
+            if (request.deferred == 0 && service != null && service.inferenceEngine()) {
+                sums.addInFlight(
+                        request.attempt
+                                        .map(attempt -> attempt.slot.region)
+                                        .orElse(settings.region())
                                 + "/"
-                                + service.model);
+                                + service.model());
             }
         }
     }
@@ -179,7 +182,7 @@
     @Override
     public void onOpened(ClientConnection client) {
         clients.add(client);
-        if (clients.size() > (settings.maxFds - 200) / 2) {
+        if (clients.size() > (settings.maxFileDescriptors() - 200) / 2) {
             loop.post(client::close);
         }
     }
@@ -198,7 +201,7 @@
     public void onRequest(ClientConnection client, Head head, byte[] body) {
         var now = Clocks.nowUs();
         counters.requests++;
-        if (table().revision == 0) {
+        if (table().revision() == 0) {
             refuseWithoutTable(client, now);
             return;
         }
@@ -212,7 +215,7 @@
                         head,
                         body,
                         route.get(),
-                        route.get().service(spread.next(61)),
+                        route.get().pickService(spread.next(61)),
                         late.sink(client, route.get(), now),
                         client.beganUs(),
                         now);
@@ -237,7 +240,7 @@
     }
 
     /** The route of a request by its host without the port, else by its host as it stands. */
-    private Optional<RouteTable.Route> findRoute(Head head) {
+    private Optional<Route> findRoute(Head head) {
         var host = head.get("Host").toLowerCase(Locale.ROOT);
         var port = host.indexOf(':');
         var path = path(head);
@@ -276,7 +279,7 @@
                         head,
                         body,
                         route.get(),
-                        route.get().service(spread.next(61)),
+                        route.get().pickService(spread.next(61)),
                         sink,
                         now,
                         now);
@@ -307,14 +310,15 @@
         if (chooser.asleep(request)) {
             return (request.deadlineUs - request.arrivedUs) / 2;
         }
-        return Math.min(request.route.aimUs / 5, (request.deadlineUs - request.arrivedUs) / 3);
+        return Math.min(
+                request.route.latencyTargetUs() / 5, (request.deadlineUs - request.arrivedUs) / 3);
     }
 
     @Override
     public void enqueue(Request request, long now) {
         if (request.deferred > 0) {
             completion.giveUp(request);
-        } else if (request.sent > 0 && request.mayHaveRun && !request.route.repeatable()) {
+        } else if (request.sent > 0 && request.mayHaveRun && !request.route.retriable()) {
             completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
         } else if (!queues.add(request)) {
             completion.refuse(request, 1);
@@ -330,7 +334,7 @@
         if (request.sent > 0 && !budget.spend(request.service, edges(), now)) {
             return false;
         }
-        var service = table().services.get(request.service);
+        var service = table().services().get(request.service);
         var slot = chosen.get();
         var kept = chooser.keeps(slot, request);
         var attempt = new Attempt(request, slot, slot.unread(request, kept), results);
@@ -347,13 +351,13 @@
         if (request.sent > 0) {
             counters.repeats++;
         }
-        if (service != null && service.engine) {
-            slot.keep(request, service.cacheTokens);
+        if (service != null && service.inferenceEngine()) {
+            slot.keep(request, service.cacheTokens());
             if (request.sharedTokens() >= ReplicaSelector.LARGE) {
-                places.put(ReplicaSelector.sharedPart(request), slot.row.id);
+                places.put(ReplicaSelector.sharedPart(request), slot.row.id());
             }
         }
-        attempt.start(loop, slot.region.equals(settings.region) ? 400 : 700);
+        attempt.start(loop, slot.region.equals(settings.region()) ? 400 : 700);
         return true;
     }
 
@@ -422,17 +426,17 @@
     private void move(Attempt attempt, long now) {
         var request = attempt.request;
         if (request.done()
-                || !request.route.repeatable()
+                || !request.route.retriable()
                 || attempt.state() == Attempt.State.OPENING
                 || attempt.state() == Attempt.State.OVER
-                || request.sent + 1 >= request.route.tries) {
+                || request.sent + 1 >= request.route.maxAttempts()) {
             return;
         }
         if (now - attempt.sentUs < 150_000) {
             return;
         }
         request.sent++;
-        request.tried.add(attempt.slot.row.id);
+        request.tried.add(attempt.slot.row.id());
         if (!dispatch(request, now)) {
             request.sent--;
             request.attempt = Optional.of(attempt);
@@ -445,6 +449,6 @@
     /** A replica's life ended or its time runs out: what can go on elsewhere does. */
     public void onReplica(ReplicaRecord replica) {
         replicaTable.take(replica);
-        replicaTable.slot(replica.id).ifPresent(chooser::markResting);
+        replicaTable.slot(replica.id()).ifPresent(chooser::markResting);
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestQueues.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestQueues.java
@@ -54,7 +54,7 @@
     private void drain(Deque<Request> queue, long now) {
         var waiting = new ArrayList<>(queue);
         waiting.sort(
-                Comparator.comparingInt((Request e) -> e.route.rank)
+                Comparator.comparingInt((Request e) -> e.route.priority())
                         .thenComparingLong(e -> e.arrivedUs));
         queue.clear();
         for (var e : waiting) {
--- a/edge/src/main/java/martenloom/edge/dispatch/SilenceWatch.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/SilenceWatch.java
@@ -41,8 +41,8 @@
             return;
         }
         if (s.suspectUntilUs < now) {
-            RingLog.note(
-                    "replica " + s.row.id + " is quiet with " + s.attempts.size() + " attempts");
+            RingLog.debug(
+                    "replica " + s.row.id() + " is quiet with " + s.attempts.size() + " attempts");
         }
         s.suspectUntilUs = Math.max(s.suspectUntilUs, now + SUSPECT_US);
         s.doubtful = true;
@@ -57,14 +57,14 @@
      * runs may pause for as many pieces.
      */
     private long patienceUs(ReplicaTable.Slot s) {
-        var svc = table.get().services.get(s.row.service);
-        if (svc == null || !svc.engine) {
+        var svc = table.get().services().get(s.row.service());
+        if (svc == null || !svc.inferenceEngine()) {
             return (long) Math.max(200_000, s.workUs * 5 + s.rttUs);
         }
         var unread = s.unread + s.othersUnread(Clocks.nowUs());
         for (var l : s.attempts) {
             if (l.started()) {
-                var pieces = Math.min(unread, ReplicaTable.PIECE * svc.stepSize);
+                var pieces = Math.min(unread, ReplicaTable.PIECE * svc.stepSize());
                 return (long) (450_000 + s.rttUs + pieces / s.rate * 1000);
             }
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/SocketConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/SocketConnection.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import martenloom.common.log.RingLog;
+import martenloom.common.socket.SocketReadHandler;
 import martenloom.common.socket.SocketReader;
 
 /**
@@ -14,7 +15,7 @@
  * by itself, tells its owner of bytes and of the end, and can be held while the other side does not
  * keep up.
  */
-public final class SocketConnection implements SocketReader.Owner {
+public final class SocketConnection implements SocketReadHandler {
     /** Is told of bytes and of the end of a connection. */
     public interface Owner {
         void onBytes();
@@ -42,7 +43,7 @@
     }
 
     public void start() {
-        pump.go();
+        pump.readWhileWanted();
     }
 
     public boolean isOpen() {
@@ -59,7 +60,7 @@
 
     public void used(int n) {
         if (size() >= most && size() - n < most) {
-            Reactor.getCurrentReactor().post(pump::go);
+            Reactor.getCurrentReactor().post(pump::readWhileWanted);
         }
         from += n;
         if (from == to) {
@@ -73,22 +74,22 @@
 
     public void hold(boolean h) {
         held = h;
-        pump.go();
+        pump.readWhileWanted();
     }
 
     @Override
-    public boolean wants() {
+    public boolean wantsMore() {
         return open && !held && size() < most;
     }
 
     @Override
-    public void ended() {
+    public void onEnd() {
         endedByPeer = open;
         close();
     }
 
     @Override
-    public void broke() {
+    public void onError() {
         close();
     }
 
@@ -100,7 +101,7 @@
     }
 
     @Override
-    public void take(ByteBuf b) {
+    public void onBytes(ByteBuf b) {
         var n = b.readRemaining();
         if (to + n > buf.length) {
             var need = size() + n;
@@ -159,7 +160,7 @@
             try {
                 s.getSocketChannel().setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException | UnsupportedOperationException e) {
-                RingLog.note("a connection is closed without a reset: " + e.getMessage());
+                RingLog.debug("a connection is closed without a reset: " + e.getMessage());
             }
         }
         close();
--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -19,6 +19,8 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobUrgency;
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.Request;
 import martenloom.edge.dispatch.RequestDispatcher;
@@ -73,7 +75,7 @@
         Run(Job j, long f) {
             job = j;
             fence = f;
-            kept = j.kept.length;
+            kept = j.checkpoint().length;
         }
 
         @Override
@@ -121,7 +123,7 @@
         }
 
         void keep() {
-            if (over || telling || !job.resumable || fresh.size() == 0 || request.isEmpty()) {
+            if (over || telling || !job.resumable() || fresh.size() == 0 || request.isEmpty()) {
                 return;
             }
             telling = true;
@@ -137,9 +139,9 @@
         private void keep(String last, byte[] n, int tries) {
             core.ask(
                     "JOB_KEEP",
-                    job.id,
+                    job.id(),
                     fence,
-                    job.runs,
+                    job.attempts(),
                     body(new RecordWriter().text(last).i32(kept).blob(n)),
                     (s, t) -> {
                         if (s == 200) {
@@ -168,7 +170,7 @@
         private void tell(String act, Supplier<String> b, int tries) {
             over = true;
             if (!held.getAsBoolean() || fence != grant) {
-                runs.remove(job.id);
+                runs.remove(job.id());
                 return;
             }
             if (telling && tries < 200) {
@@ -177,18 +179,18 @@
             }
             core.ask(
                     act,
-                    job.id,
+                    job.id(),
                     fence,
-                    job.runs,
+                    job.attempts(),
                     b.get(),
                     (s, t) -> {
                         if (s == 503) {
                             later.accept(200_000L, () -> tell(act, b, tries + 1));
                         } else {
-                            runs.remove(job.id);
-                            RingLog.note(
+                            runs.remove(job.id());
+                            RingLog.debug(
                                     "job "
-                                            + job.id
+                                            + job.id()
                                             + " "
                                             + act
                                             + ": "
@@ -247,8 +249,8 @@
     }
 
     private void letGo(Run r, String why) {
-        RingLog.note("job " + r.job.id + " is let go: " + why);
-        runs.remove(r.job.id);
+        RingLog.debug("job " + r.job.id() + " is let go: " + why);
+        runs.remove(r.job.id());
         r.over = true;
         r.request.ifPresent(dispatcher::dropJob);
     }
@@ -269,7 +271,7 @@
         var seen = new HashSet<String>();
         lines.forEach(l -> seen.add(l.id));
         for (var r : List.copyOf(runs.values())) {
-            if (!seen.contains(r.job.id)
+            if (!seen.contains(r.job.id())
                     && !r.over
                     && Clocks.nowUs() - r.request.map(e -> e.arrivedUs).orElse(0L) > 2_000_000) {
                 letGo(r, "it is no longer live");
@@ -290,7 +292,7 @@
                                         && !starting.contains(l.id)
                                         && (!l.running || l.fence < grant))
                 .sorted(
-                        Comparator.comparingInt((Line l) -> -Job.urgency(l.leftUs, l.wholeUs))
+                        Comparator.comparingInt((Line l) -> -JobUrgency.of(l.leftUs, l.wholeUs))
                                 .thenComparing(Line::prefix)
                                 .thenComparingLong(Line::leftUs))
                 .forEach(this::consider);
@@ -313,7 +315,7 @@
     }
 
     private void consider(Line l) {
-        var u = Job.urgency(l.leftUs, l.wholeUs);
+        var u = JobUrgency.of(l.leftUs, l.wholeUs);
         if (runs.size() + starting.size() >= MOST) {
             waits.put(l.id, "urgency " + u + ": " + MOST + " jobs run already");
             return;
@@ -334,7 +336,8 @@
                     starting.remove(l.id);
                     if (s == 200 && !t.isEmpty() && held.getAsBoolean() && g == grant) {
                         run(
-                                Job.read(new RecordReader(Base64.getDecoder().decode(t), false)),
+                                JobCodec.read(
+                                        new RecordReader(Base64.getDecoder().decode(t), false)),
                                 g,
                                 u,
                                 l.leftUs);
@@ -344,10 +347,10 @@
 
     private void run(Job j, long g, int urgency, long leftUs) {
         var r = new Run(j, g);
-        runs.put(j.id, r);
-        ran.add(j.id);
+        runs.put(j.id(), r);
+        ran.add(j.id());
         started++;
-        var e = dispatcher.startJob(head(j, g, leftUs), j.body, r, urgency, j.lastEvent);
+        var e = dispatcher.startJob(head(j, g, leftUs), j.body(), r, urgency, j.lastEventId());
         r.request = e;
         if (e.isEmpty()) {
             r.back(0, "no room when it was to start");
@@ -356,17 +359,17 @@
 
     private static Head head(Job j, long g, long leftUs) {
         var h = new Head();
-        h.one = j.method;
-        h.two = j.path;
+        h.one = j.method();
+        h.two = j.path();
         h.three = "HTTP/1.1";
-        h.set("Host", j.host);
-        for (var f : j.fields) {
+        h.set("Host", j.host());
+        for (var f : j.headerFields()) {
             var c = f.indexOf(':');
             h.set(f.substring(0, c), f.substring(c + 1).strip());
         }
-        h.set("X-Attempt-Id", "job-" + j.id + "-" + g + "-" + j.runs);
+        h.set("X-Attempt-Id", "job-" + j.id() + "-" + g + "-" + j.attempts());
         h.set("X-Time-Remaining", String.valueOf(Math.max(2_000, leftUs / 1000)));
-        h.set("Content-Length", String.valueOf(j.body.length));
+        h.set("Content-Length", String.valueOf(j.body().length));
         return h;
     }
 
@@ -385,7 +388,7 @@
                                         l.running ? "running" : "waiting",
                                         l.leftUs / 1000,
                                         l.wholeUs / 1000,
-                                        Job.urgency(l.leftUs, l.wholeUs),
+                                        JobUrgency.of(l.leftUs, l.wholeUs),
                                         waits.getOrDefault(l.id, ""))));
         return b.toString();
     }
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
@@ -15,11 +15,14 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.edge.dispatch.Attempt;
 import martenloom.edge.dispatch.ReplicaConnection;
 import martenloom.edge.dispatch.Request;
+import martenloom.routing.route.Route;
 import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * The replicas as this edge sees them, one slot a life: the registry's row, what our own attempts
@@ -103,7 +106,7 @@
 
         private Slot(ReplicaRecord r) {
             row = r;
-            address = Settings.address("Address", r.address);
+            address = IpPort.parse("Address", r.address());
         }
 
         /**
@@ -172,7 +175,7 @@
         }
 
         public boolean warm(long now) {
-            return now >= Math.max(row.warmAtUs, coldFloorUs);
+            return now >= Math.max(row.warmFromUs(), coldFloorUs);
         }
 
         public int coldSends(long now) {
@@ -274,14 +277,14 @@
     public List<String> coldIn(String region, RouteTable t, long now) {
         var l = new ArrayList<String>();
         for (var s : slots.values()) {
-            var svc = t.services.get(s.row.service);
+            var svc = t.services().get(s.row.service());
             if (svc != null
-                    && svc.warmPerS > 0
+                    && svc.warmupRequestsPerS() > 0
                     && s.region.equals(region)
                     && !s.warm(now)
-                    && !s.row.draining
+                    && !s.row.draining()
                     && l.size() < MOST_COLD) {
-                l.add(s.row.id);
+                l.add(s.row.id());
             }
         }
         return l;
@@ -304,24 +307,24 @@
      * so a replica's rate is that of its service until it has been seen some times itself.
      */
     public void learnRate(Slot s, double r) {
-        var v = rates.getOrDefault(s.row.service, FIRST_RATE);
+        var v = rates.getOrDefault(s.row.service(), FIRST_RATE);
         v += (r - v) * (r > v ? 0.1 : 0.015);
-        rates.put(s.row.service, v);
+        rates.put(s.row.service(), v);
         s.samples++;
         s.rate += (r - s.rate) * (r > s.rate ? 0.2 : 0.03);
-        for (var x : of(s.row.service)) {
+        for (var x : of(s.row.service())) {
             x.rate = x.samples < OWN_SAMPLES ? v : x.rate;
         }
     }
 
     /** The usual size of a route's prompts, in tokens. */
-    public double usual(RouteTable.Route r) {
-        return usual.getOrDefault(r.name, 0.0);
+    public double usual(Route r) {
+        return usual.getOrDefault(r.name(), 0.0);
     }
 
     public void weigh(Request e) {
-        var u = usual.getOrDefault(e.route.name, (double) e.promptTokens);
-        usual.put(e.route.name, u + (e.promptTokens - u) * 0.05);
+        var u = usual.getOrDefault(e.route.name(), (double) e.promptTokens);
+        usual.put(e.route.name(), u + (e.promptTokens - u) * 0.05);
     }
 
     /**
@@ -335,8 +338,8 @@
         }
         var peers = 0;
         var ejected = 0;
-        for (var x : of(s.row.service)) {
-            if (x.region.equals(s.region) && !x.row.draining && !x.row.silent) {
+        for (var x : of(s.row.service())) {
+            if (x.region.equals(s.region) && !x.row.draining() && !x.row.unreachable()) {
                 peers++;
                 ejected += x.health.state(now) == ReplicaHealth.State.ASIDE ? 1 : 0;
             }
@@ -345,9 +348,9 @@
             return;
         }
         s.health.eject(now);
-        RingLog.note(
+        RingLog.debug(
                 "replica "
-                        + s.row.id
+                        + s.row.id()
                         + " is ejected: "
                         + bad
                         + " of "
@@ -375,49 +378,51 @@
      * after.
      */
     public void take(ReplicaRecord r) {
-        if (r.gone) {
-            ended.put(r.id, true);
-        } else if (ended.containsKey(r.id)) {
+        if (r.ended()) {
+            ended.put(r.id(), true);
+        } else if (ended.containsKey(r.id())) {
             return;
         }
-        var s = slots.get(r.id);
+        var s = slots.get(r.id());
         if (s == null) {
-            if (r.gone) {
+            if (r.ended()) {
                 return;
             }
             s = new Slot(r);
-            s.region = settings.regionOf(r.zone);
+            s.region = settings.regionOf(r.zone());
             s.farUs =
-                    Math.floorMod((settings.ip + r.id).hashCode() * 0x9E3779B9 >>> 8, 1000)
+                    Math.floorMod(
+                                    (settings.ipAddress() + r.id()).hashCode() * 0x9E3779B9 >>> 8,
+                                    1000)
                             * FAR_US
                             / 1000;
-            s.rate = rates.getOrDefault(r.service, FIRST_RATE);
+            s.rate = rates.getOrDefault(r.service(), FIRST_RATE);
             s.heardUs = Clocks.nowUs();
-            slots.put(r.id, s);
-            byService.computeIfAbsent(r.service, k -> new ArrayList<>()).add(s);
+            slots.put(r.id(), s);
+            byService.computeIfAbsent(r.service(), k -> new ArrayList<>()).add(s);
             return;
         }
-        if (r.seq >= s.row.seq || r.gone) {
-            var g = s.row.gone;
+        if (r.sequence() >= s.row.sequence() || r.ended()) {
+            var g = s.row.ended();
             s.row = r;
-            s.row.gone |= g;
+            s.row.setEnded(s.row.ended() | g);
         }
-        if (s.row.gone) {
+        if (s.row.ended()) {
             drop(s);
         }
     }
 
     public void drop(Slot s) {
-        s.row.gone = true;
-        slots.remove(s.row.id);
-        byService.getOrDefault(s.row.service, new ArrayList<>()).remove(s);
+        s.row.setEnded(true);
+        slots.remove(s.row.id());
+        byService.getOrDefault(s.row.service(), new ArrayList<>()).remove(s);
         List.copyOf(s.idle).forEach(ReplicaConnection::close);
     }
 
     public int digest() {
         var d = 0;
         for (var s : slots.values()) {
-            d += s.row.gone ? 0 : s.row.digest();
+            d += s.row.ended() ? 0 : s.row.digest();
         }
         return d;
     }
@@ -426,16 +431,15 @@
      * Predicted time from now to the first token (or the whole answer, for a plain service), in
      * microseconds.
      */
-    public double predict(
-            Slot s, RouteTable.Service svc, Request e, boolean assumeShared, long now) {
+    public double predict(Slot s, ServiceSpec svc, Request e, boolean assumeShared, long now) {
         var in = s.mine + s.othersInHand(now);
-        var cap = Math.max(1, s.row.capacity);
-        if (!svc.engine) {
+        var cap = Math.max(1, s.row.capacity());
+        if (!svc.inferenceEngine()) {
             var wait = in < cap ? 0 : (in - cap + 1.0) / cap * s.workUs;
             return s.rttUs + s.workUs + wait + in * s.workUs * 0.05;
         }
         var wait = s.unread + s.othersUnread(now);
-        var ahead = e.route.rank == 0 ? Math.min(wait, PIECE) + wait * 0.15 : wait;
+        var ahead = e.route.priority() == 0 ? Math.min(wait, PIECE) + wait * 0.15 : wait;
         var read = Math.min(s.unread(e, assumeShared), Math.max(2 * usual(e.route), PIECE));
         var t = s.rttUs + 20_000 + (ahead + read) / s.rate * 1000 + in * 700.0;
         return in < cap ? t : t + (in - cap + 1) * 15_000.0;
--- a/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
+++ b/edge/src/main/java/martenloom/edge/scaling/ScaleRunner.java
@@ -11,8 +11,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
-import martenloom.autoscaler.ScaleMachine;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ReplicaCountController;
+import martenloom.autoscaler.ReplicaCounts;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.log.RingLog;
@@ -45,13 +46,13 @@
     public record Placed(int desired, boolean pinned, Set<String> resting) {}
 
     private static final class Model {
-        final ScaleMachine machine;
+        final ReplicaCountController machine;
         boolean telling;
         long settlesUs;
         int inFlight;
         String reply = "";
 
-        Model(ScaleMachine m) {
+        Model(ReplicaCountController m) {
             machine = m;
         }
 
@@ -71,13 +72,14 @@
     private final RequestDispatcher floor;
     private final ReplicaTable replicaTable;
     private final String region;
-    private final ScaleSettings defaults;
+    private final ScalingSettings defaults;
     private final OrderSink sink;
     private final Map<String, Model> models = new TreeMap<>();
     private Map<String, Placed> placed = Map.of();
     private long grant;
 
-    public ScaleRunner(RequestDispatcher f, String region, ScaleSettings defaults, OrderSink sink) {
+    public ScaleRunner(
+            RequestDispatcher f, String region, ScalingSettings defaults, OrderSink sink) {
         floor = f;
         replicaTable = f.replicaTable;
         this.region = region;
@@ -101,7 +103,7 @@
             grant = g;
             models.clear();
         }
-        if (grant == 0 || floor.table().revision == 0) {
+        if (grant == 0 || floor.table().revision() == 0) {
             return;
         }
         for (var m : engineModels()) {
@@ -111,26 +113,28 @@
 
     private Set<String> engineModels() {
         var l = new TreeSet<String>();
-        floor.table().services.values().stream().filter(s -> s.engine).forEach(s -> l.add(s.model));
+        floor.table().services().values().stream()
+                .filter(s -> s.inferenceEngine())
+                .forEach(s -> l.add(s.model()));
         return l;
     }
 
-    private ScaleSettings settings(String model) {
-        return floor.table().scaling.getOrDefault(model, defaults);
+    private ScalingSettings settings(String model) {
+        return floor.table().scaling().getOrDefault(model, defaults);
     }
 
     private List<ReplicaTable.Slot> registered(String model) {
         var l = new ArrayList<ReplicaTable.Slot>();
         for (var s : replicaTable.all()) {
-            var svc = floor.table().services.get(s.row.service);
+            var svc = floor.table().services().get(s.row.service());
             if (svc != null
-                    && svc.engine
-                    && svc.model.equals(model)
+                    && svc.inferenceEngine()
+                    && svc.model().equals(model)
                     && s.region.equals(region)
-                    && !s.row.draining
-                    && !s.row.gone
-                    && !s.row.silent
-                    && !floor.evacuated().contains(s.row.zone)) {
+                    && !s.row.draining()
+                    && !s.row.ended()
+                    && !s.row.unreachable()
+                    && !floor.evacuated().contains(s.row.zone())) {
                 l.add(s);
             }
         }
@@ -151,20 +155,20 @@
                         key,
                         k ->
                                 new Model(
-                                        new ScaleMachine(
+                                        new ReplicaCountController(
                                                 settings(model),
                                                 held.map(Placed::desired).orElse(all.size()),
                                                 now)));
-        m.machine.adopt(settings(model));
+        m.machine.updateSettings(settings(model));
         if (held.isEmpty() && !m.busy(now)) {
-            m.machine.follow(all.size());
+            m.machine.trackRegistered(all.size());
         }
         var fleet =
-                new ScaleMachine.Fleet(
+                new ReplicaCounts(
                         all.size(),
                         running,
-                        all.stream().mapToInt(s -> s.row.capacity).max().orElse(1));
-        m.inFlight = whole.flights().getOrDefault(key, 0);
+                        all.stream().mapToInt(s -> s.row.capacity()).max().orElse(1));
+        m.inFlight = whole.inFlightByModel().getOrDefault(key, 0);
         if (m.machine.sample(m.inFlight, enough, now)) {
             m.machine.decide(fleet, now);
         }
@@ -198,10 +202,10 @@
                     m.settlesUs = s == 200 ? Clocks.nowUs() + SETTLE_US : 0;
                     m.reply = s + (t.isEmpty() ? "" : " " + t);
                     if (s == 409) {
-                        m.machine.refused(inForce, t, now);
-                        RingLog.say("scaling of " + key + " to " + d + " is refused: " + t);
+                        m.machine.rejected(inForce, t, now);
+                        RingLog.info("scaling of " + key + " to " + d + " is refused: " + t);
                     } else if (s == 200) {
-                        RingLog.note("scaling of " + key + ": " + d + " desired, resting " + rest);
+                        RingLog.debug("scaling of " + key + ": " + d + " desired, resting " + rest);
                     }
                 });
     }
@@ -218,34 +222,38 @@
                 Comparator.comparing((ReplicaTable.Slot s) -> !s.resting)
                         .thenComparingLong(ReplicaTable.Slot::keptTokens)
                         .thenComparingInt(s -> s.mine)
-                        .thenComparing(s -> s.row.id));
+                        .thenComparing(s -> s.row.id()));
         var r = new TreeSet<String>();
-        l.stream().limit(n).forEach(s -> r.add(s.row.id));
+        l.stream().limit(n).forEach(s -> r.add(s.row.id()));
         return r;
     }
 
     /** Whether some route of this model may be served in this region only. */
     private boolean homeBinds(String key) {
         var t = floor.table();
-        return t.routes.stream()
+        return t.routes().stream()
                 .anyMatch(
                         r ->
-                                r.regions.size() == 1
+                                r.allowedRegions().size() == 1
                                         && r.allows(region)
-                                        && r.shares.stream()
+                                        && r.trafficSplit().stream()
                                                 .anyMatch(
                                                         x ->
                                                                 Optional.ofNullable(
-                                                                                t.services.get(
-                                                                                        x.service))
+                                                                                t.services()
+                                                                                        .get(
+                                                                                                x
+                                                                                                        .service()))
                                                                         .filter(
                                                                                 s ->
-                                                                                        s.engine
+                                                                                        s
+                                                                                                        .inferenceEngine()
                                                                                                 && key
                                                                                                         .equals(
                                                                                                                 region
                                                                                                                         + "/"
-                                                                                                                        + s.model))
+                                                                                                                        + s
+                                                                                                                                .model()))
                                                                         .isPresent()));
     }
 
@@ -281,7 +289,7 @@
                                     all.stream().filter(s -> !s.resting).count(),
                                     all.size(),
                                     x.phase(),
-                                    x.why(),
+                                    x.reason(),
                                     x.delayLeftUs(now) / 1000,
                                     grant,
                                     m.reply.isEmpty() ? "none" : m.reply));
--- a/edge/src/test/java/martenloom/edge/replica/EndedReplicaTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/EndedReplicaTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -24,16 +24,16 @@
             a = "g"
             [ListenAddresses]
             """;
-    private final ReplicaTable replicaTable = new ReplicaTable(Settings.parse(SETTINGS));
+    private final ReplicaTable replicaTable = new ReplicaTable(SettingsFile.parse(SETTINGS));
 
     private static ReplicaRecord row(long sequence, boolean draining, boolean gone) {
         var row = new ReplicaRecord();
-        row.id = "i";
-        row.address = "10.0.0.9:80";
-        row.zone = "a";
-        row.seq = sequence;
-        row.draining = draining;
-        row.gone = gone;
+        row.setId("i");
+        row.setAddress("10.0.0.9:80");
+        row.setZone("a");
+        row.setSequence(sequence);
+        row.setDraining(draining);
+        row.setEnded(gone);
         return row;
     }
 
@@ -57,6 +57,6 @@
         replicaTable.take(row(4, false, false));
         replicaTable.take(row(6, true, false));
         replicaTable.take(row(5, false, false));
-        assertTrue(replicaTable.slot("i").orElseThrow().row.draining);
+        assertTrue(replicaTable.slot("i").orElseThrow().row.draining());
     }
 }
--- a/edge/src/test/java/martenloom/edge/replica/EvidenceTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/EvidenceTest.java
@@ -9,6 +9,7 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -17,7 +18,7 @@
  */
 final class EvidenceTest {
     private static final Settings SETTINGS =
-            Settings.parse(
+            SettingsFile.parse(
                     "NodeName = \"e\"\n"
                             + "IpAddress = \"10.0.0.1\"\n"
                             + "Zone = \"a\"\n"
@@ -32,11 +33,11 @@
 
     private ReplicaTable.Slot slot(String id) {
         var r = new ReplicaRecord();
-        r.id = id;
-        r.service = "s";
-        r.address = "10.0.0.9:80";
-        r.zone = "a";
-        r.seq = 1;
+        r.setId(id);
+        r.setService("s");
+        r.setAddress("10.0.0.9:80");
+        r.setZone("a");
+        r.setSequence(1);
         replicaTable.take(r);
         var s = replicaTable.slot(id).get();
         s.heardUs = 0;
@@ -61,24 +62,24 @@
     @Test
     void whoHeardADoubtedReplicaIsToldWithTheDoubt() {
         var a = LoadSummary.ofEdge();
-        a.put("i", 1, 0, true);
-        a.put("k", 1, 0, false).heard = 1;
+        a.addReplica("i", 1, 0, true);
+        a.addReplica("k", 1, 0, false).setHearingEdges(1);
         var b = LoadSummary.ofEdge();
-        b.put("i", 2, 0, false).heard = 1;
+        b.addReplica("i", 2, 0, false).setHearingEdges(1);
         var t =
                 LoadSummary.read(
                         new RecordReader(
                                 new LoadSummary()
                                         .add(a)
                                         .add(b)
-                                        .doubtful()
+                                        .onlySuspected()
                                         .write(new RecordWriter())
                                         .bytes(),
                                 false));
-        assertEquals(1, t.load("i").doubts);
-        assertEquals(1, t.load("i").heard);
-        assertEquals(0, t.load("k").heard, "nobody doubts it, so it is not told");
-        assertEquals(0, new LoadSummary().add(b).less(b).load("i").heard);
+        assertEquals(1, t.replicaLoad("i").suspectingEdges());
+        assertEquals(1, t.replicaLoad("i").hearingEdges());
+        assertEquals(0, t.replicaLoad("k").hearingEdges(), "nobody doubts it, so it is not told");
+        assertEquals(0, new LoadSummary().add(b).subtract(b).replicaLoad("i").hearingEdges());
     }
 
     @Test
--- a/edge/src/test/java/martenloom/edge/replica/HoldTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/HoldTest.java
@@ -4,6 +4,7 @@
 
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -12,7 +13,7 @@
  */
 final class HoldTest {
     private static final Settings SETTINGS =
-            Settings.parse(
+            SettingsFile.parse(
                     "NodeName = \"e\"\n"
                             + "IpAddress = \"10.0.0.1\"\n"
                             + "Zone = \"a\"\n"
@@ -26,10 +27,10 @@
 
     private static ReplicaTable.Slot slot() {
         var r = new ReplicaRecord();
-        r.id = "i";
-        r.address = "10.0.0.9:80";
-        r.zone = "a";
-        r.seq = 1;
+        r.setId("i");
+        r.setAddress("10.0.0.9:80");
+        r.setZone("a");
+        r.setSequence(1);
         var replicaTable = new ReplicaTable(SETTINGS);
         replicaTable.take(r);
         return replicaTable.slot("i").get();
--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import martenloom.common.clock.Clocks;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.VersionedStore;
 import martenloom.edge.EdgeDaemon;
@@ -79,7 +80,7 @@
     }
 
     private static Settings settings(String ip, int port, String dir, String listen) {
-        return Settings.parse(
+        return SettingsFile.parse(
                 "NodeName = \"n\"\nIpAddress = \""
                         + ip
                         + "\"\nZone = \"z\"\nRegion = \"r\"\nInternalPortRange = ["
@@ -121,7 +122,10 @@
                 loop(
                         "core",
                         l ->
-                                new CoreDaemon(core, l, new VersionedStore.RealFolder(core.dataDir))
+                                new CoreDaemon(
+                                                core,
+                                                l,
+                                                new VersionedStore.RealFolder(core.dataDirectory()))
                                         .start());
         var n = new CompletableFuture<EdgeDaemon>();
         var b =
--- a/launcher/src/main/java/martenloom/launcher/Commands.java
+++ b/launcher/src/main/java/martenloom/launcher/Commands.java
@@ -7,7 +7,8 @@
 import java.util.Optional;
 import martenloom.common.error.InvalidConfigurationException;
 import martenloom.common.error.UsageException;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.IpPort;
+import martenloom.common.settings.SettingsFile;
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
 import org.apache.commons.cli.CommandLine;
@@ -86,16 +87,16 @@
     }
 
     private static int settings(String f) {
-        var p = Settings.load(f);
+        var p = SettingsFile.load(f);
         System.out.println(
                 "ok: "
-                        + p.name
+                        + p.nodeName()
                         + " in "
-                        + p.zone
+                        + p.zone()
                         + "/"
-                        + p.region
+                        + p.region()
                         + ", serves "
-                        + String.join(",", p.serves));
+                        + String.join(",", p.servedRoles()));
         return 0;
     }
 
@@ -112,7 +113,7 @@
         }
         var r =
                 martenloom.shell.Shell.ask(
-                        Settings.address("--at", at), "would " + a.get(1) + " " + a.get(2));
+                        IpPort.parse("--at", at), "would " + a.get(1) + " " + a.get(2));
         System.out.print(r);
         return r.startsWith("ok") ? 0 : 1;
     }
@@ -129,15 +130,15 @@
         var t = text("read configuration", f);
         var table =
                 f.endsWith(".json")
-                        ? RoutingLanguage.compile(Configurations.replace(t).routingText)
+                        ? RoutingLanguage.compile(Configurations.replace(t).routingText())
                         : RoutingLanguage.compile(t);
         System.out.println(
                 "ok: revision "
-                        + table.revision
+                        + table.revision()
                         + ", "
-                        + table.routes.size()
+                        + table.routes().size()
                         + " routes, "
-                        + table.services.size()
+                        + table.services().size()
                         + " services");
         return 0;
     }
--- a/launcher/src/main/java/martenloom/launcher/Launcher.java
+++ b/launcher/src/main/java/martenloom/launcher/Launcher.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.error.ErrorCode;
 import martenloom.common.error.InvalidSettingsException;
@@ -15,6 +15,7 @@
 import martenloom.common.error.UsageException;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.VersionedStore;
 import martenloom.edge.EdgeDaemon;
@@ -49,7 +50,7 @@
     private static int role(String verb, String[] args) {
         var scaling = scaling(verb, args);
         var p =
-                Settings.load(
+                SettingsFile.load(
                         Optional.ofNullable(System.getenv("MARTENLOOM_NODE_FILE")).orElse(""));
         var loop = Clocks.reactor(verb);
         loop.keepAlive(true);
@@ -70,9 +71,9 @@
     /**
      * The one option of a role, read by hand: the library of the commands would cost every start.
      */
-    private static ScaleSettings scaling(String verb, String[] args) {
+    private static ScalingSettings scaling(String verb, String[] args) {
         if (args.length == 1) {
-            return ScaleSettings.DEFAULT;
+            return ScalingSettings.DEFAULT;
         }
         if (args.length != 3 || !verb.equals("edge") || !args[1].equals("--scaling")) {
             throw new UsageException(
@@ -82,24 +83,25 @@
                                     ? " takes --scaling WORDS or nothing"
                                     : " takes no options"));
         }
-        return ScaleSettings.parse(args[2]);
+        return ScalingSettings.parse(args[2]);
     }
 
-    private static void edge(Settings p, Eventloop loop, ScaleSettings scaling) throws IOException {
-        p.need("Frontend");
-        p.need("Readiness");
+    private static void edge(Settings p, Eventloop loop, ScalingSettings scaling)
+            throws IOException {
+        p.requiredListenAddress("Frontend");
+        p.requiredListenAddress("Readiness");
         var n = new EdgeDaemon(p, loop, scaling);
         loop.execute(() -> starting(() -> n.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(n::leave, "leave"));
     }
 
     private static void core(Settings p, Eventloop loop) throws IOException {
-        p.need("ControlPlane");
-        if (p.dataDir.isEmpty()) {
+        p.requiredListenAddress("ControlPlane");
+        if (p.dataDirectory().isEmpty()) {
             throw new InvalidSettingsException(
                     "check settings", "DataDirectory: missing, and this role needs it");
         }
-        var c = new CoreDaemon(p, loop, new VersionedStore.RealFolder(p.dataDir));
+        var c = new CoreDaemon(p, loop, new VersionedStore.RealFolder(p.dataDirectory()));
         loop.execute(() -> starting(() -> c.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(c::leave, "leave"));
     }
@@ -148,10 +150,10 @@
             return;
         }
         try {
-            p.adopt(Settings.parse(t));
-            RingLog.note("settings read again");
+            p.adoptReloadable(SettingsFile.parse(t));
+            RingLog.debug("settings read again");
         } catch (MartenloomException f) {
-            RingLog.wrong("settings changed and are not usable: " + f.getMessage());
+            RingLog.error("settings changed and are not usable: " + f.getMessage());
         }
     }
 }
--- a/launcher/src/main/java/martenloom/launcher/PlacementCheck.java
+++ b/launcher/src/main/java/martenloom/launcher/PlacementCheck.java
@@ -11,6 +11,7 @@
 import martenloom.routing.configuration.Configurations;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.placement.Placement;
+import martenloom.routing.placement.PlacementFinding;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -42,15 +43,15 @@
                         Configurations.replace(
                                         c.getObject("Configuration")
                                                 .render(ConfigRenderOptions.concise()))
-                                .routingText);
+                                .routingText());
         var now = running(c, t);
         now.findings(t).forEach(f -> System.out.println("now: " + f.text()));
         if (!c.hasPath("Change")) {
-            return now.findings(t).stream().allMatch(Placement.Finding::bound)
+            return now.findings(t).stream().allMatch(PlacementFinding::bound)
                     ? said("ok: every model outlives the loss of any one region")
                     : 1;
         }
-        var bad = Placement.added(now, changed(now, c.getConfig("Change"), t), t);
+        var bad = Placement.regressions(now, changed(now, c.getConfig("Change"), t), t);
         bad.forEach(f -> System.out.println("refused: " + f.text()));
         return bad.isEmpty() ? said("ok: the change strands nothing") : 1;
     }
@@ -64,18 +65,21 @@
         var p = new Placement();
         for (var r : c.getConfigList("Running")) {
             var s = r.getString("Backend");
-            if (!t.services.containsKey(s)) {
+            if (!t.services().containsKey(s)) {
                 throw new ConfigException.BadValue(
                         r.origin(), "Running.Backend", "service '" + s + "' is unknown");
             }
-            r.getStringList("Replicas").forEach(x -> p.put(s, r.getString("Region"), x));
+            r.getStringList("Replicas").forEach(x -> p.addReplica(s, r.getString("Region"), x));
         }
         return p;
     }
 
     private static Placement changed(Placement p, Config c, RouteTable t) {
         var m = c.getString("Model");
-        var ss = t.services.values().stream().filter(s -> s.engine && s.model.equals(m)).toList();
+        var ss =
+                t.services().values().stream()
+                        .filter(s -> s.inferenceEngine() && s.model().equals(m))
+                        .toList();
         if (ss.isEmpty()) {
             throw new ConfigException.BadValue(
                     c.origin(), "Change.Model", "model '" + m + "' is unknown");
--- a/launcher/src/test/java/martenloom/launcher/CommandsTest.java
+++ b/launcher/src/test/java/martenloom/launcher/CommandsTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import martenloom.common.error.MartenloomException;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -209,24 +209,24 @@
 
     @Test
     void changedSettingsAreTakenOverAndUnusableOnesArePassedOver() throws IOException {
-        var p = Settings.parse(GOOD);
+        var p = SettingsFile.parse(GOOD);
         var f = Path.of(file("h.toml", GOOD.replace("DrainMs = 2500", "DrainMs = 2600")));
         var last = new java.util.concurrent.atomic.AtomicReference<>(GOOD);
         Launcher.reread(p, f, last);
-        assertEquals(2600, p.bounds.drainMs);
+        assertEquals(2600, p.bounds().drainTimeoutMs());
         for (var bad : List.of("DrainMs = \"x\"", "DrainMs = [")) {
             Files.writeString(f, GOOD.replace("DrainMs = 2500", bad));
             Launcher.reread(p, f, last);
-            assertEquals(2600, p.bounds.drainMs, "the old goes on");
+            assertEquals(2600, p.bounds().drainTimeoutMs(), "the old goes on");
             var said =
-                    Arrays.stream(martenloom.common.log.RingLog.tail(20).split("\n"))
+                    Arrays.stream(martenloom.common.log.RingLog.recent(20).split("\n"))
                             .filter(l -> l.contains("settings changed and are not usable"))
                             .toList();
             assertFalse(said.isEmpty(), "said in one line");
         }
         Files.delete(f);
         Launcher.reread(p, f, last);
-        assertEquals(2600, p.bounds.drainMs);
+        assertEquals(2600, p.bounds().drainTimeoutMs());
     }
 
     @Test
@@ -261,9 +261,10 @@
 
     @Test
     void aChangedFileGivesNewSeedsAndBounds() {
-        var p = Settings.parse(GOOD);
-        p.adopt(Settings.parse(GOOD.replace("2500", "900").replace("10.1.0.13", "10.9.0.1")));
-        assertEquals(900, p.bounds.drainMs);
-        assertEquals(List.of("10.9.0.1:8166"), p.seeds);
+        var p = SettingsFile.parse(GOOD);
+        p.adoptReloadable(
+                SettingsFile.parse(GOOD.replace("2500", "900").replace("10.1.0.13", "10.9.0.1")));
+        assertEquals(900, p.bounds().drainTimeoutMs());
+        assertEquals(List.of("10.9.0.1:8166"), p.seedNodes());
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/LeavingTest.java
+++ b/launcher/src/test/java/martenloom/launcher/LeavingTest.java
@@ -241,7 +241,7 @@
             Files.writeString(
                     file, t.settingsText(0).replace("GracePeriodS = 5", "GracePeriodS = 6"));
             Launcher.reread(t.settings(0), file, new AtomicReference<>(t.settingsText(0)));
-            assertEquals(6, t.settings(0).bounds.graceS);
+            assertEquals(6, t.settings(0).bounds().gracePeriodS());
             assertEquals(200, t.request(0, "/safe/x", "h2", "", "").status);
             resume();
             assertTrue(TestHttpClient.read(in).whole);
--- a/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
@@ -24,10 +24,11 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.error.StorageException;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.VersionedStore;
 import martenloom.edge.EdgeDaemon;
@@ -67,14 +68,14 @@
     private final Set<String> mute = ConcurrentHashMap.newKeySet();
     public final Map<String, Integer> warmLeft = new ConcurrentHashMap<>();
 
-    private ScaleSettings scaling = ScaleSettings.DEFAULT;
+    private ScalingSettings scaling = ScalingSettings.DEFAULT;
     private final Map<String, CountDownLatch> frozen = new ConcurrentHashMap<>();
 
     /** Core daemons whose disk refuses every write. */
     public final Set<Integer> fullDisks = ConcurrentHashMap.newKeySet();
 
     public TestCluster scaling(String words) {
-        scaling = ScaleSettings.parse(words);
+        scaling = ScalingSettings.parse(words);
         return this;
     }
 
@@ -183,7 +184,7 @@
     }
 
     private Settings settings(String ip, int i, String role, boolean bootstrap, int port) {
-        return Settings.parse(settingsText(ip, i, role, bootstrap, port));
+        return SettingsFile.parse(settingsText(ip, i, role, bootstrap, port));
     }
 
     private String settingsText(String ip, int i, String role, boolean bootstrap, int port) {
@@ -247,7 +248,7 @@
         run(
                 core(i),
                 loop -> {
-                    var c = new CoreDaemon(p, loop, folder(i, p.dataDir));
+                    var c = new CoreDaemon(p, loop, folder(i, p.dataDirectory()));
                     c.start();
                     cores.put(core(i), c);
                 });
@@ -296,7 +297,7 @@
      */
     public void startCoreCutOff(int i) {
         var p = settings(core(i), i, "core", false, CUT_OFF_PORT);
-        run(core(i), loop -> new CoreDaemon(p, loop, folder(i, p.dataDir)).start());
+        run(core(i), loop -> new CoreDaemon(p, loop, folder(i, p.dataDirectory())).start());
     }
 
     /** The text of an edge's settings file. */
--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -29,6 +29,7 @@
 import martenloom.common.error.UsageException;
 import martenloom.common.link.LinkTraffic;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.VersionedStore;
 import martenloom.edge.EdgeDaemon;
@@ -278,7 +279,7 @@
                 IntStream.range(0, z.zones)
                         .mapToObj(h -> "h" + h + " = \"" + region(h) + "\"\n")
                         .collect(Collectors.joining());
-        return Settings.parse(
+        return SettingsFile.parse(
                 "NodeName = \""
                         + (isCore ? "core" : "edge")
                         + i
@@ -458,7 +459,11 @@
         for (var i = 0; i < z.cores; i++) {
             var p = settings(core(i), i, true);
             var l = loop("core-" + net + "-" + i, coreThreads);
-            on(l, () -> new CoreDaemon(p, l, new VersionedStore.RealFolder(p.dataDir)).start());
+            on(
+                    l,
+                    () ->
+                            new CoreDaemon(p, l, new VersionedStore.RealFolder(p.dataDirectory()))
+                                    .start());
         }
         var parts = Math.min(16, z.replicas);
         for (var i = 0; i < parts; i++) {
@@ -550,9 +555,9 @@
         var r = 0.0;
         var b = 0.0;
         for (var i = 0; i < n; i++) {
-            var t = LinkTraffic.of(role + "-" + net + "-" + i);
-            r += t.records();
-            b += t.bytes();
+            var t = LinkTraffic.ofThread(role + "-" + net + "-" + i);
+            r += t.totalRecords();
+            b += t.totalBytes();
         }
         return new double[] {r, b};
     }
@@ -560,9 +565,9 @@
     private Map<Integer, Long> coreKinds() {
         var m = new TreeMap<Integer, Long>();
         for (var i = 0; i < z.cores; i++) {
-            LinkTraffic.of("core-" + net + "-" + i)
-                    .kinds()
-                    .forEach((k, v) -> m.merge(k, v[0], Long::sum));
+            LinkTraffic.ofThread("core-" + net + "-" + i)
+                    .countsByType()
+                    .forEach((k, v) -> m.merge(k, v.records(), Long::sum));
         }
         return m;
     }
--- a/routing/src/main/java/martenloom/routing/placement/Placement.java
+++ b/routing/src/main/java/martenloom/routing/placement/Placement.java
@@ -9,169 +9,174 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import martenloom.routing.placement.PlacementFinding.Severity;
+import martenloom.routing.route.Route;
 import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
- * Where each service's replicas run, by region, and what the loss of any one region would strand. A
- * pure function of what runs and of the routes: no input or output, no clock. A finding names the
- * model and the region whose loss leaves it nowhere to run, and the route where only the route's
- * homes make it so. A route that is bound to one region cannot outlive that region; that is told as
- * bound and never held against a change.
+ * Where the replicas of each service run, by region, and what the loss of any one region would
+ * leave with nowhere to run. A finding names the model and the region, and the route where only the
+ * allowed regions of the route make it so. A route that is allowed in one region alone cannot
+ * outlive that region; this is reported as bound and never counts against a change.
+ *
+ * <p>A pure function of what runs and of the routes: no input or output, no clock. Not thread-safe
+ * while it is being filled.
  */
 public final class Placement {
-    /**
-     * A region's loss that strands a model; the route is empty when the model as a whole is
-     * stranded.
-     */
-    public record Finding(String model, String region, String route, boolean bound)
-            implements Comparable<Finding> {
-        public String text() {
-            var r = route.isEmpty() ? "" : " on route '" + route + "'";
-            if (region.isEmpty()) {
-                return "model '" + model + "'" + r + " runs nowhere";
-            }
-            return "model '"
-                    + model
-                    + "'"
-                    + r
-                    + (bound
-                            ? " is bound to region '" + region + "' and cannot outlive it"
-                            : " would run nowhere if region '" + region + "' were lost");
-        }
-
-        /** How bad it is: bound and nothing to be done, lost with one region, or nowhere now. */
-        private int grade() {
-            return region.isEmpty() ? 2 : bound ? 0 : 1;
-        }
+    private static final int ENCODED_FIELDS = 3;
 
-        @Override
-        public int compareTo(Finding o) {
-            return (model + "\t" + region + "\t" + route)
-                    .compareTo(o.model + "\t" + o.region + "\t" + o.route);
-        }
-    }
+    /** Replicas by service and region. */
+    private final Map<String, Map<String, Set<String>>> replicas = new TreeMap<>();
 
-    private final Map<String, Map<String, Set<String>>> running = new TreeMap<>();
-
-    public void put(String service, String region, String replica) {
-        running.computeIfAbsent(service, k -> new TreeMap<>())
-                .computeIfAbsent(region, k -> new TreeSet<>())
+    /** Adds a replica that runs. */
+    public void addReplica(String service, String region, String replica) {
+        replicas.computeIfAbsent(service, key -> new TreeMap<>())
+                .computeIfAbsent(region, key -> new TreeSet<>())
                 .add(replica);
     }
 
-    public Set<String> at(String service, String region) {
-        return running.getOrDefault(service, Map.of()).getOrDefault(region, Set.of());
+    /** The replicas of a service in a region. */
+    public Set<String> replicasAt(String service, String region) {
+        return replicas.getOrDefault(service, Map.of()).getOrDefault(region, Set.of());
     }
 
     private Set<String> regions(String service) {
-        var s = new TreeSet<String>();
-        running.getOrDefault(service, Map.of())
+        var regions = new TreeSet<String>();
+        replicas.getOrDefault(service, Map.of())
                 .forEach(
-                        (g, l) -> {
-                            if (!l.isEmpty()) {
-                                s.add(g);
+                        (region, running) -> {
+                            if (!running.isEmpty()) {
+                                regions.add(region);
                             }
                         });
-        return s;
+        return regions;
     }
 
-    /** The same without some replicas of a region, or without all of them. */
+    /** Calls with each pair of service and region, in order, and the replicas there. */
+    private void forEachRegion(RegionVisitor visitor) {
+        replicas.forEach(
+                (service, byRegion) ->
+                        byRegion.forEach(
+                                (region, running) -> visitor.visit(service, region, running)));
+    }
+
+    @FunctionalInterface
+    private interface RegionVisitor {
+        void visit(String service, String region, Set<String> running);
+    }
+
+    /**
+     * The same placement without some replicas of these services in a region.
+     *
+     * @param all whether all their replicas there are left out, whatever is in {@code removed}
+     */
     public Placement without(
-            Collection<RouteTable.Service> services,
-            String region,
-            boolean all,
-            Set<String> replicas) {
-        var p = new Placement();
+            Collection<ServiceSpec> services, String region, boolean all, Set<String> removed) {
         var names = new HashSet<String>();
-        services.forEach(s -> names.add(s.name));
-        running.forEach(
-                (s, m) ->
-                        m.forEach(
-                                (g, l) ->
-                                        l.forEach(
-                                                r -> {
-                                                    if (!(names.contains(s)
-                                                            && g.equals(region)
-                                                            && (all || replicas.contains(r)))) {
-                                                        p.put(s, g, r);
-                                                    }
-                                                })));
-        return p;
+        services.forEach(service -> names.add(service.name()));
+        var rest = new Placement();
+        forEachRegion(
+                (service, at, running) -> {
+                    var affected = names.contains(service) && at.equals(region);
+                    for (var replica : running) {
+                        if (!(affected && (all || removed.contains(replica)))) {
+                            rest.addReplica(service, at, replica);
+                        }
+                    }
+                });
+        return rest;
     }
 
-    public String text() {
-        var b = new StringBuilder();
-        running.forEach(
-                (s, m) ->
-                        m.forEach(
-                                (g, l) ->
-                                        b.append(s)
-                                                .append('\t')
-                                                .append(g)
-                                                .append('\t')
-                                                .append(String.join(",", l))
-                                                .append('\n')));
-        return b.toString();
+    /** A line for each service and region: service, region, replicas; {@link #decode} reads it. */
+    public String encode() {
+        var text = new StringBuilder();
+        forEachRegion(
+                (service, region, running) ->
+                        text.append(service)
+                                .append('\t')
+                                .append(region)
+                                .append('\t')
+                                .append(String.join(",", running))
+                                .append('\n'));
+        return text.toString();
     }
 
-    public static Placement of(String text) {
-        var p = new Placement();
-        for (var l : text.split("\n")) {
-            var w = l.split("\t");
-            if (w.length == 3) {
-                for (var r : w[2].split(",")) {
-                    p.put(w[0], w[1], r);
+    /** Reads what {@link #encode} wrote. */
+    public static Placement decode(String text) {
+        var placement = new Placement();
+        for (var line : text.split("\n")) {
+            var fields = line.split("\t");
+            if (fields.length == ENCODED_FIELDS) {
+                for (var replica : fields[2].split(",")) {
+                    placement.addReplica(fields[0], fields[1], replica);
                 }
             }
         }
-        return p;
+        return placement;
     }
 
-    /** Everything that the loss of one region would strand, and what runs nowhere now. */
-    public SortedSet<Finding> findings(RouteTable t) {
-        var f = new TreeSet<Finding>();
-        for (var s : t.services.values()) {
-            if (s.engine) {
-                look(f, s.model, "", false, regions(s.name));
-                t.routes.stream()
-                        .filter(
-                                r ->
-                                        !r.regions.isEmpty()
-                                                && r.shares.stream()
-                                                        .anyMatch(
-                                                                x ->
-                                                                        x.service.equals(s.name)
-                                                                                && x.weight > 0))
-                        .forEach(
-                                r -> {
-                                    var here = regions(s.name);
-                                    here.retainAll(r.regions);
-                                    look(f, s.model, r.name, r.regions.size() == 1, here);
-                                });
+    /** All that the loss of one region would leave without replicas, and what has none now. */
+    public SortedSet<PlacementFinding> findings(RouteTable table) {
+        var findings = new TreeSet<PlacementFinding>();
+        for (var service : table.services().values()) {
+            if (service.inferenceEngine()) {
+                var model = service.model();
+                addFinding(findings, model, "", false, regions(service.name()));
+                for (var route : table.routes()) {
+                    if (!route.allowedRegions().isEmpty() && uses(route, service.name())) {
+                        var allowed = regions(service.name());
+                        allowed.retainAll(route.allowedRegions());
+                        var bound = route.allowedRegions().size() == 1;
+                        addFinding(findings, model, route.name(), bound, allowed);
+                    }
+                }
             }
         }
-        return f;
+        return findings;
+    }
+
+    private static boolean uses(Route route, String service) {
+        return route.trafficSplit().stream()
+                .anyMatch(share -> share.service().equals(service) && share.weight() > 0);
     }
 
-    private static void look(
-            Set<Finding> f, String model, String route, boolean bound, Set<String> regions) {
+    private static void addFinding(
+            Set<PlacementFinding> findings,
+            String model,
+            String route,
+            boolean bound,
+            Set<String> regions) {
         if (regions.isEmpty()) {
-            f.add(new Finding(model, "", route, false));
+            findings.add(new PlacementFinding(model, "", route, false));
         } else if (regions.size() == 1) {
-            f.add(new Finding(model, regions.iterator().next(), route, bound));
+            findings.add(new PlacementFinding(model, regions.iterator().next(), route, bound));
         }
     }
 
     /**
      * What a change would make worse, for a model as a whole or on a route: from safe to lost with
-     * one region, or from either to nowhere. What was as bad before is not held against it, and
-     * neither is what is bound.
+     * one region, or from either to nowhere. What was as severe before does not count against the
+     * change, and neither does what is bound.
      */
-    public static List<Finding> added(Placement before, Placement after, RouteTable t) {
-        var old = new HashMap<String, Integer>();
-        before.findings(t).forEach(x -> old.merge(x.model + "\t" + x.route, x.grade(), Math::max));
-        return after.findings(t).stream()
-                .filter(x -> x.grade() > old.getOrDefault(x.model + "\t" + x.route, 0))
+    public static List<PlacementFinding> regressions(
+            Placement before, Placement after, RouteTable table) {
+        var severities = new HashMap<String, Severity>();
+        before.findings(table)
+                .forEach(
+                        finding ->
+                                severities.merge(
+                                        finding.subject(),
+                                        finding.severity(),
+                                        (one, other) -> one.compareTo(other) > 0 ? one : other));
+        return after.findings(table).stream()
+                .filter(
+                        finding ->
+                                finding.severity()
+                                                .compareTo(
+                                                        severities.getOrDefault(
+                                                                finding.subject(), Severity.BOUND))
+                                        > 0)
                 .toList();
     }
 }
--- a/routing/src/test/java/martenloom/routing/ConfigurationsTest.java
+++ b/routing/src/test/java/martenloom/routing/ConfigurationsTest.java
@@ -8,6 +8,7 @@
 import martenloom.common.error.ErrorCode;
 import martenloom.common.error.MartenloomException;
 import martenloom.routing.configuration.Configurations;
+import martenloom.routing.configuration.JsonText;
 import martenloom.routing.language.RoutingLanguage;
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
@@ -31,15 +32,15 @@
 
     @Test
     void aConfigurationBecomesRoutingText() {
-        Approvals.verify(Configurations.replace(GOOD).routingText);
+        Approvals.verify(Configurations.replace(GOOD).routingText());
     }
 
     @Test
     void theRoutingTextCompilesToTheSameTable() {
-        var m = Configurations.replace(GOOD).routingText;
-        assertEquals(m, RoutingLanguage.write(RoutingLanguage.compile(m)));
+        var m = Configurations.replace(GOOD).routingText();
+        assertEquals(m, RoutingLanguage.print(RoutingLanguage.compile(m)));
         var t = RoutingLanguage.compile(m);
-        assertEquals("r1", t.find("h.example", "/a/b/c").get().name);
+        assertEquals("r1", t.find("h.example", "/a/b/c").get().name());
         assertTrue(t.find("h.example", "/ab").isEmpty());
         assertTrue(t.find("other", "/a/").isEmpty());
     }
@@ -55,9 +56,9 @@
                             + " rank 0 tries 1 to s 1\n"
                             + "route c host h under /x/y/ idempotent within 1ms aim 1ms pause 0ms"
                             + " rank 0 tries 1 to s 1\n");
-        assertEquals("c", t.find("h", "/x/y/z").get().name);
-        assertEquals("b", t.find("h", "/x/yy").get().name);
-        assertEquals("a", t.find("h", "/q").get().name);
+        assertEquals("c", t.find("h", "/x/y/z").get().name());
+        assertEquals("b", t.find("h", "/x/yy").get().name());
+        assertEquals("a", t.find("h", "/q").get().name());
     }
 
     @Test
@@ -70,15 +71,17 @@
                                 + ","
                                 + ROUTE.replace("r1", "r2").replace("/a/", "/b/")
                                 + "]},\"Remove\":{\"Routes\":[\"none\"]}}");
-        assertEquals(9, u.revision);
-        var t = RoutingLanguage.compile(u.routingText);
-        assertEquals(7_000_000, t.find("h.example", "/a/").get().timeoutUs);
-        assertEquals(2, t.routes.size());
-        var d = Configurations.update(u.json, "{\"Revision\":10,\"Remove\":{\"Routes\":[\"r1\"]}}");
-        assertTrue(RoutingLanguage.compile(d.routingText).find("h.example", "/a/x").isEmpty());
+        assertEquals(9, u.revision());
+        var t = RoutingLanguage.compile(u.routingText());
+        assertEquals(7_000_000, t.find("h.example", "/a/").get().timeoutUs());
+        assertEquals(2, t.routes().size());
+        var d =
+                Configurations.update(
+                        u.json(), "{\"Revision\":10,\"Remove\":{\"Routes\":[\"r1\"]}}");
+        assertTrue(RoutingLanguage.compile(d.routingText()).find("h.example", "/a/x").isEmpty());
         assertEquals(
                 3.0,
-                Configurations.body(d.json).getConfigList("Backends").get(0).getDouble("WarmupS"),
+                JsonText.parse(d.json()).getConfigList("Backends").get(0).getDouble("WarmupS"),
                 "what was not named stays as it was sent");
     }
 
--- a/routing/src/test/java/martenloom/routing/PlacementTest.java
+++ b/routing/src/test/java/martenloom/routing/PlacementTest.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.placement.Placement;
+import martenloom.routing.placement.PlacementFinding;
 import org.junit.jupiter.api.Test;
 
 /** What the loss of a region would strand, and which changes are to be refused for it. */
@@ -27,17 +28,17 @@
         var p = new Placement();
         for (var x : places) {
             var w = x.split(" ");
-            p.put(w[0], w[1], w[2]);
+            p.addReplica(w[0], w[1], w[2]);
         }
         return p;
     }
 
-    private static String said(Collection<Placement.Finding> f) {
-        return String.join("\n", f.stream().map(Placement.Finding::text).toList());
+    private static String said(Collection<PlacementFinding> f) {
+        return String.join("\n", f.stream().map(PlacementFinding::text).toList());
     }
 
-    private static List<Placement.Finding> added(Placement a, Placement b) {
-        return Placement.added(a, b, RoutingLanguage.compile(MENU));
+    private static List<PlacementFinding> added(Placement a, Placement b) {
+        return Placement.regressions(a, b, RoutingLanguage.compile(MENU));
     }
 
     @Test
@@ -48,7 +49,7 @@
                 said(before.findings(RoutingLanguage.compile(MENU))));
         var noNorth =
                 before.without(
-                        RoutingLanguage.compile(MENU).services.values(), "north", true, Set.of());
+                        RoutingLanguage.compile(MENU).services().values(), "north", true, Set.of());
         assertEquals(
                 "model 'n' would run nowhere if region 'east' were lost",
                 said(added(before, noNorth)));
@@ -58,7 +59,7 @@
                         added(
                                 before,
                                 before.without(
-                                        RoutingLanguage.compile(MENU).services.values(),
+                                        RoutingLanguage.compile(MENU).services().values(),
                                         "north",
                                         false,
                                         Set.of("c")))));
@@ -69,7 +70,7 @@
         var before = at("s east a", "s west b", "s north c", "t east d", "t north e");
         var noWest =
                 before.without(
-                        RoutingLanguage.compile(MENU).services.values(), "west", true, Set.of());
+                        RoutingLanguage.compile(MENU).services().values(), "west", true, Set.of());
         assertEquals(
                 "model 'm' on route 'homes' would run nowhere if region 'east' were lost",
                 said(added(before, noWest)));
@@ -78,7 +79,7 @@
     @Test
     void whatKeepsOrMendsABadStateIsNotRefusedAndNowhereAlwaysIs() {
         var bad = at("s east a", "s east a2", "t east d");
-        var services = RoutingLanguage.compile(MENU).services.values();
+        var services = RoutingLanguage.compile(MENU).services().values();
         assertEquals(
                 "",
                 said(added(bad, bad.without(services, "east", false, Set.of("a2")))),
@@ -96,7 +97,7 @@
     @Test
     void itsTextReadsBack() {
         var p = at("s east a", "s west b", "t east d");
-        assertEquals(p.text(), Placement.of(p.text()).text());
-        assertEquals("", Placement.of("").text());
+        assertEquals(p.encode(), Placement.decode(p.encode()).encode());
+        assertEquals("", Placement.decode("").encode());
     }
 }
--- a/shell/src/main/java/martenloom/shell/Shell.java
+++ b/shell/src/main/java/martenloom/shell/Shell.java
@@ -14,64 +14,80 @@
 import martenloom.common.error.LinkException;
 import martenloom.common.error.UsageException;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.IpPort;
 
 /**
- * The shell of queries on the fleet's state: one question to one daemon over the daemons' own
- * records, plain text back. With a query as argument it answers once; without, it reads queries
- * line by line.
+ * The operator's shell: queries on the state of one daemon, sent over the port on which daemons
+ * connect to each other and answered in plain text. Runs on the thread of its caller and blocks it.
  */
 public final class Shell {
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final int READ_TIMEOUT_MS = 3000;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_REJECTED_QUERY = 2;
+    private static final String QUIT = "quit";
+
     private Shell() {}
 
+    /**
+     * Sends one query, or without one reads queries from standard input, a line each, until {@code
+     * quit} or the end of the input. Returns the exit code of the last query.
+     *
+     * @param at the IP:PORT of the daemon
+     * @param words the words of the query; empty to read queries
+     */
     public static int run(String at, List<String> words) {
         if (at.isEmpty()) {
             throw new UsageException(
                     "read command line",
                     "shell needs --at IP:PORT (a daemon's first internal port)");
         }
-        var to = Settings.address("--at", at);
+        var address = IpPort.parse("--at", at);
         if (!words.isEmpty()) {
-            return print(ask(to, String.join(" ", words)));
+            return print(ask(address, String.join(" ", words)));
         }
-        var in = new BufferedReader(new InputStreamReader(System.in));
-        var rc = 0;
-        for (var l = line(in); !l.equals("quit"); l = line(in)) {
-            rc = l.isBlank() ? rc : print(ask(to, l.strip()));
+        var input = new BufferedReader(new InputStreamReader(System.in));
+        var exitCode = EXIT_OK;
+        for (var line = readLine(input); !line.equals(QUIT); line = readLine(input)) {
+            if (!line.isBlank()) {
+                exitCode = print(ask(address, line.strip()));
+            }
         }
-        return rc;
+        return exitCode;
     }
 
-    private static String line(BufferedReader in) {
+    private static String readLine(BufferedReader input) {
         try {
-            return Optional.ofNullable(in.readLine()).orElse("quit");
+            return Optional.ofNullable(input.readLine()).orElse(QUIT);
         } catch (IOException e) {
-            return "quit";
+            return QUIT;
         }
     }
 
-    private static int print(String s) {
-        System.out.print(s);
-        return s.startsWith("?") ? 2 : 0;
+    /** Prints a response; one that rejects the query begins with a question mark. */
+    private static int print(String response) {
+        System.out.print(response);
+        return response.startsWith("?") ? EXIT_REJECTED_QUERY : EXIT_OK;
     }
 
-    public static String ask(InetSocketAddress to, String q) {
-        try (var s = new Socket()) {
-            s.connect(to, 2000);
-            s.setSoTimeout(3000);
-            var out = new DataOutputStream(s.getOutputStream());
-            var b = new RecordWriter(RecordType.SHELL_QUERY).text(q).bytes();
-            out.writeInt(b.length);
-            out.write(b);
+    /** Sends one query and returns the response; a {@link LinkException} if there is none. */
+    public static String ask(InetSocketAddress address, String query) {
+        try (var socket = new Socket()) {
+            socket.connect(address, CONNECT_TIMEOUT_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
+            var out = new DataOutputStream(socket.getOutputStream());
+            var record = new RecordWriter(RecordType.SHELL_QUERY).text(query).bytes();
+            out.writeInt(record.length);
+            out.write(record);
             out.flush();
-            var in = new DataInputStream(s.getInputStream());
-            var r = new byte[in.readInt()];
-            in.readFully(r);
-            return new RecordReader(r, true).text();
+            var in = new DataInputStream(socket.getInputStream());
+            var response = new byte[in.readInt()];
+            in.readFully(response);
+            return new RecordReader(response, true).text();
         } catch (IOException e) {
             throw new LinkException(
                     "ask daemon",
-                    to.getAddress().getHostAddress() + ":" + to.getPort(),
+                    address.getAddress().getHostAddress() + ":" + address.getPort(),
                     String.valueOf(e.getMessage()));
         }
     }
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
@@ -7,6 +7,7 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
+import martenloom.common.link.RequestId;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
 
@@ -38,7 +39,7 @@
             reply.accept(Reply.UNAVAILABLE, "no head is known");
             return;
         }
-        var id = remote.open(head.get(), reply::accept);
+        var id = remote.register(head.get(), reply::accept);
         var record = new RecordWriter(RecordType.ORDER_REQUEST);
         id.write(record);
         change.write(record);
@@ -59,22 +60,22 @@
     }
 
     void onClosed(SimulatedNetwork.Connection connection) {
-        remote.closed(connection, "the link closed before an answer");
+        remote.channelClosed(connection, "the link closed before an answer");
     }
 
     void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
+        var id = RequestId.read(in);
         askHere(ClusterState.Change.read(in), (status, text) -> answer(by, id, status, text));
     }
 
     private static void answer(
-            SimulatedNetwork.Connection by, PendingRequests.RequestId id, int status, String text) {
+            SimulatedNetwork.Connection by, RequestId id, int status, String text) {
         var record = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(record);
         by.answer(record.i32(status).text(text).bytes());
     }
 
     void onAnswer(SimulatedNetwork.Connection by, RecordReader in) {
-        remote.answered(PendingRequests.RequestId.read(in), by, in.i32(), in.text());
+        remote.complete(RequestId.read(in), by, in.i32(), in.text());
     }
 }
