--- a/common/src/main/java/martenloom/common/load/ReplicaLoad.java
+++ b/common/src/main/java/martenloom/common/load/ReplicaLoadSummary.java
@@ -4,7 +4,7 @@
 import martenloom.common.codec.RecordWriter;
 
 /** The load of one replica, added up over edges. Not thread-safe. */
-public final class ReplicaLoad {
+public final class ReplicaLoadSummary {
     private static final int MAX_U8 = 255;
 
     /** Attempts in flight. */
@@ -81,7 +81,7 @@
     }
 
     /** Adds another load, or with a sign of -1 takes it off. */
-    void add(ReplicaLoad other, int sign) {
+    void add(ReplicaLoadSummary other, int sign) {
         inFlight += sign * other.inFlight;
         pendingPrefillTokens += sign * other.pendingPrefillTokens;
         suspectingEdges += sign * other.suspectingEdges;
@@ -91,7 +91,7 @@
     }
 
     /** Copies everything but attempts and tokens. */
-    void copyHealth(ReplicaLoad other) {
+    void copyHealth(ReplicaLoadSummary other) {
         suspectingEdges = other.suspectingEdges;
         hearingEdges = other.hearingEdges;
         successes = other.successes;
