--- a/common/src/main/java/martenloom/common/link/PeerLink.java
+++ b/common/src/main/java/martenloom/common/link/PeerLink.java
@@ -170,11 +170,13 @@
         }
     }
 
+    /** The length at a position of the buffer, its most significant byte first. */
     private int lengthAt(int at) {
-        return (buffer[at] & 0xFF) << 24
-                | (buffer[at + 1] & 0xFF) << 16
-                | (buffer[at + 2] & 0xFF) << 8
-                | buffer[at + 3] & 0xFF;
+        var length = 0;
+        for (var i = 0; i < LENGTH_BYTES; i++) {
+            length = length << Byte.SIZE | Byte.toUnsignedInt(buffer[at + i]);
+        }
+        return length;
     }
 
     @SuppressWarnings("IllegalCatch") // whatever a record breaks in its handler, the link goes on
--- a/common/src/main/java/martenloom/common/settings/Settings.java
+++ b/common/src/main/java/martenloom/common/settings/Settings.java
@@ -10,7 +10,6 @@
  * replaces. Thread-safe.
  */
 public final class Settings {
-    private static final int MAX_PORT = 65535;
     private static final int DEFAULT_HEARTBEAT_INTERVAL_MS = 1000;
     private static final int DEFAULT_FILE_DESCRIPTORS = 1024;
     private static final int DEFAULT_MEMORY_MB = 256;
@@ -19,8 +18,7 @@
     private final String ipAddress;
     private final String zone;
     private final String region;
-    private final int firstInternalPort;
-    private final int lastInternalPort;
+    private final PortRange internalPorts;
     private volatile List<String> seedNodes;
     private final boolean bootstrap;
     private final boolean quorumMember;
@@ -40,20 +38,7 @@
         ipAddress = fields.requiredText("IpAddress");
         zone = fields.requiredText("Zone");
         region = fields.requiredText("Region");
-        var ports = fields.list("InternalPortRange");
-        if (ports.size() != 2
-                || !(ports.get(0) instanceof Number first)
-                || !(ports.get(1) instanceof Number last)) {
-            throw SettingsFields.invalid("InternalPortRange", "must be two port numbers");
-        }
-        firstInternalPort = first.intValue();
-        lastInternalPort = last.intValue();
-        if (firstInternalPort < 1
-                || lastInternalPort > MAX_PORT
-                || firstInternalPort > lastInternalPort) {
-            throw SettingsFields.invalid(
-                    "InternalPortRange", "must run from a lower to a higher port below 65536");
-        }
+        internalPorts = PortRange.read(fields, "InternalPortRange");
         seedNodes = fields.texts("SeedNodes");
         for (var seed : seedNodes) {
             IpPort.parse("SeedNodes", seed);
@@ -101,11 +86,11 @@
 
     /** The port on which other daemons connect; the first of the internal range. */
     public int firstInternalPort() {
-        return firstInternalPort;
+        return internalPorts.first();
     }
 
     public int lastInternalPort() {
-        return lastInternalPort;
+        return internalPorts.last();
     }
 
     /** Core daemons to contact first, each as IP:PORT. */
--- a/routing/src/main/java/martenloom/routing/placement/Placement.java
+++ b/routing/src/main/java/martenloom/routing/placement/Placement.java
@@ -121,21 +121,25 @@
         var findings = new TreeSet<PlacementFinding>();
         for (var service : table.services().values()) {
             if (service.inferenceEngine()) {
-                var model = service.model();
-                addFinding(findings, model, "", false, regions(service.name()));
-                for (var route : table.routes()) {
-                    if (!route.allowedRegions().isEmpty() && uses(route, service.name())) {
-                        var allowed = regions(service.name());
-                        allowed.retainAll(route.allowedRegions());
-                        var bound = route.allowedRegions().size() == 1;
-                        addFinding(findings, model, route.name(), bound, allowed);
-                    }
-                }
+                addFindings(findings, service, table.routes());
             }
         }
         return findings;
     }
 
+    private void addFindings(
+            Set<PlacementFinding> findings, ServiceSpec service, List<Route> routes) {
+        addFinding(findings, service.model(), "", false, regions(service.name()));
+        for (var route : routes) {
+            if (!route.allowedRegions().isEmpty() && uses(route, service.name())) {
+                var allowed = regions(service.name());
+                allowed.retainAll(route.allowedRegions());
+                var bound = route.allowedRegions().size() == 1;
+                addFinding(findings, service.model(), route.name(), bound, allowed);
+            }
+        }
+    }
+
     private static boolean uses(Route route, String service) {
         return route.trafficSplit().stream()
                 .anyMatch(share -> share.service().equals(service) && share.weight() > 0);
