--- a/autoscaler/src/test/java/martenloom/autoscaler/ReplicaCountControllerTest.java
+++ b/autoscaler/src/test/java/martenloom/autoscaler/ReplicaCountControllerTest.java
@@ -1,56 +1,68 @@
 package martenloom.autoscaler;
 
+import static martenloom.autoscaler.ScalingField.CEILING;
+import static martenloom.autoscaler.ScalingField.DELAY;
+import static martenloom.autoscaler.ScalingField.FLOOR;
+import static martenloom.autoscaler.ScalingField.STEP;
+import static martenloom.autoscaler.ScalingField.TARGET;
+import static martenloom.autoscaler.ScalingField.UTILIZATION;
+import static martenloom.autoscaler.ScalingField.WINDOW;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Random;
-import martenloom.common.error.MartenloomException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The four rules of the source, its worked figures, both ends of every range, and seeded loads. */
 final class ReplicaCountControllerTest {
-    private static final long S = 1_000_000;
-    private long now;
+    private static final long SECOND_US = 1_000_000;
+    private static final int CAPACITY = 10;
 
-    private static ScalingSettings settings(Object... fields) {
-        var m = new EnumMap<ScalingField, Double>(ScalingField.class);
-        for (var i = 0; i < fields.length; i += 2) {
-            m.put((ScalingField) fields[i], ((Number) fields[i + 1]).doubleValue());
+    private long nowUs;
+
+    /** Settings from pairs of a field and its value. */
+    private static ScalingSettings settings(Object... fieldsAndValues) {
+        var changes = new EnumMap<ScalingField, Double>(ScalingField.class);
+        for (var i = 0; i < fieldsAndValues.length; i += 2) {
+            var value = (Number) fieldsAndValues[i + 1];
+            changes.put((ScalingField) fieldsAndValues[i], value.doubleValue());
         }
-        return ScalingSettings.DEFAULT.with("m", m);
+        return ScalingSettings.DEFAULT.with("m", changes);
+    }
+
+    private ReplicaCountController controller(ScalingSettings settings, int desired) {
+        return new ReplicaCountController(settings, desired, nowUs);
     }
 
-    private static ReplicaCounts fleet(int registered, int running) {
-        return new ReplicaCounts(registered, running, 10);
+    private static ReplicaCounts counts(int registered, int running) {
+        return new ReplicaCounts(registered, running, CAPACITY);
     }
 
-    /** Whole windows of a steady load, a sample a second. */
-    private int windows(
-            ReplicaCountController m, ScalingSettings p, int load, int n, int registered) {
-        for (var w = 0; w < n; w++) {
+    /** Runs whole windows of a steady load, a sample a second; returns the number desired. */
+    private int runWindows(
+            ReplicaCountController controller, int load, int windows, int registered) {
+        for (var i = 0; i < windows; i++) {
             var due = false;
             while (!due) {
-                now += S;
-                due = m.sample(load, true, now);
+                nowUs += SECOND_US;
+                due = controller.sample(load, true, nowUs);
             }
-            m.decide(fleet(registered, m.desired()), now);
+            controller.decide(counts(registered, controller.desired()), nowUs);
         }
-        return m.desired();
+        return controller.desired();
     }
 
     @Test
     void twentyFiveInFlightWithTenAtSeventyPercentAreFour() {
-        var p = settings(ScalingField.TARGET, 10);
-        var m = new ReplicaCountController(p, 1, now);
-        assertEquals(4, windows(m, p, 25, 1, 9));
-        assertEquals(25, m.average());
+        var controller = controller(settings(TARGET, 10), 1);
+        assertEquals(4, runWindows(controller, 25, 1, 9));
+        assertEquals(25, controller.average());
         assertEquals(4, ReplicaCountController.wanted(25, 7));
         assertEquals(4, ReplicaCountController.wanted(28, 7));
         assertEquals(5, ReplicaCountController.wanted(28.01, 7));
@@ -59,27 +71,26 @@
 
     @Test
     void loadIsAveragedOverTheWindow() {
-        var p = settings(ScalingField.TARGET, 10);
-        var m = new ReplicaCountController(p, 1, now);
+        var controller = controller(settings(TARGET, 10), 1);
         for (var i = 1; i < 60; i++) {
-            now += S;
-            assertFalse(m.sample(i % 2 * 50, true, now));
+            nowUs += SECOND_US;
+            assertFalse(controller.sample(i % 2 * 50, true, nowUs));
         }
-        now += S;
-        assertTrue(m.sample(0, true, now));
-        assertEquals(4, m.decide(fleet(9, 1), now), "50 and 0 by turns are 25");
+        nowUs += SECOND_US;
+        assertTrue(controller.sample(0, true, nowUs));
+        assertEquals(4, controller.decide(counts(9, 1), nowUs), "50 and 0 by turns are 25");
     }
 
     @Test
-    void eightTooManyFallToFourTwoOne() {
-        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 30, ScalingField.TARGET, 10);
-        for (var want : new int[] {0, 2}) {
-            var m = new ReplicaCountController(p, want + 8, now);
+    void anExcessOfEightFallsToFourTwoOne() {
+        var settings = settings(WINDOW, 10, DELAY, 30, TARGET, 10);
+        for (var wanted : new int[] {0, 2}) {
+            var controller = controller(settings, wanted + 8);
             var seen = new ArrayList<Integer>();
             for (var i = 0; i < 24; i++) {
-                var d = windows(m, p, want * 7, 1, 12) - want;
-                if (seen.isEmpty() || seen.get(seen.size() - 1) != d) {
-                    seen.add(d);
+                var excess = runWindows(controller, wanted * 7, 1, 12) - wanted;
+                if (seen.isEmpty() || seen.get(seen.size() - 1) != excess) {
+                    seen.add(excess);
                 }
             }
             assertEquals(List.of(8, 4, 2, 1, 0), seen);
@@ -88,181 +99,152 @@
 
     @Test
     void theDelayRunsWholeAndReturningLoadResetsIt() {
-        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 30, ScalingField.TARGET, 10);
-        var m = new ReplicaCountController(p, 4, now);
-        assertEquals(4, windows(m, p, 0, 3, 4));
-        assertEquals(ScalingPhase.WAITING, m.phase());
-        assertEquals(10 * S, m.delayLeftUs(now));
-        assertEquals(4, windows(m, p, 25, 1, 4), "load is back within the delay");
-        assertEquals(ScalingPhase.STEADY, m.phase());
-        assertEquals(4, windows(m, p, 0, 3, 4), "the delay began anew");
-        assertEquals(2, windows(m, p, 0, 1, 4));
-        assertEquals(2, windows(m, p, 0, 2, 4), "and begins anew after each step");
-        assertEquals(1, windows(m, p, 0, 1, 4));
+        var controller = controller(settings(WINDOW, 10, DELAY, 30, TARGET, 10), 4);
+        assertEquals(4, runWindows(controller, 0, 3, 4));
+        assertEquals(ScalingPhase.WAITING, controller.phase());
+        assertEquals(10 * SECOND_US, controller.delayLeftUs(nowUs));
+        assertEquals(4, runWindows(controller, 25, 1, 4), "load is back within the delay");
+        assertEquals(ScalingPhase.STEADY, controller.phase());
+        assertEquals(4, runWindows(controller, 0, 3, 4), "the delay began anew");
+        assertEquals(2, runWindows(controller, 0, 1, 4));
+        assertEquals(2, runWindows(controller, 0, 2, 4), "and begins anew after each step");
+        assertEquals(1, runWindows(controller, 0, 1, 4));
     }
 
     @Test
     void floorAndCeilingHoldAndTheDefaultCeilingIsWhatIsRegistered() {
-        var p =
-                settings(
-                        ScalingField.WINDOW,
-                        10,
-                        ScalingField.DELAY,
-                        0,
-                        ScalingField.TARGET,
-                        10,
-                        ScalingField.FLOOR,
-                        2,
-                        ScalingField.CEILING,
-                        5);
-        var m = new ReplicaCountController(p, 3, now);
-        assertEquals(5, windows(m, p, 1000, 1, 9));
-        assertEquals(2, windows(m, p, 0, 9, 9));
-        var q = settings(ScalingField.TARGET, 10);
-        assertEquals(7, windows(new ReplicaCountController(q, 3, now), q, 1000, 1, 7));
+        var settings = settings(WINDOW, 10, DELAY, 0, TARGET, 10, FLOOR, 2, CEILING, 5);
+        var bounded = controller(settings, 3);
+        assertEquals(5, runWindows(bounded, 1000, 1, 9));
+        assertEquals(2, runWindows(bounded, 0, 9, 9));
+        var unbounded = controller(settings(TARGET, 10), 3);
+        assertEquals(7, runWindows(unbounded, 1000, 1, 7));
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {10, 3600})
+    void theShortestAndTheLongestWindowWork(int windowS) {
+        var controller = controller(settings(WINDOW, windowS, TARGET, 10), 1);
+        var startUs = nowUs;
+        assertEquals(4, runWindows(controller, 25, 1, 9));
+        assertEquals(windowS * SECOND_US, nowUs - startUs);
     }
 
     @Test
-    void bothEndsOfTheRangesWork() {
-        for (var w : new int[] {10, 3600}) {
-            var p = settings(ScalingField.WINDOW, w, ScalingField.TARGET, 10);
-            var m = new ReplicaCountController(p, 1, now);
-            var t = now;
-            assertEquals(4, windows(m, p, 25, 1, 9));
-            assertEquals(w * S, now - t);
-        }
-        var p0 = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 0, ScalingField.TARGET, 10);
+    void theShortestAndTheLongestDelayWork() {
+        var none = settings(WINDOW, 10, DELAY, 0, TARGET, 10);
         assertEquals(
                 4,
-                windows(new ReplicaCountController(p0, 8, now), p0, 0, 1, 8),
+                runWindows(controller(none, 8), 0, 1, 8),
                 "a delay of nothing steps at each decision");
-        var p1 =
-                settings(
-                        ScalingField.WINDOW, 10, ScalingField.DELAY, 3600, ScalingField.TARGET, 10);
-        var m1 = new ReplicaCountController(p1, 8, now);
-        assertEquals(8, windows(m1, p1, 0, 360, 8));
-        assertEquals(4, windows(m1, p1, 0, 1, 8));
-        var s1 =
-                settings(
-                        ScalingField.WINDOW,
-                        10,
-                        ScalingField.DELAY,
-                        0,
-                        ScalingField.STEP,
-                        1,
-                        ScalingField.TARGET,
-                        10);
-        assertEquals(
-                299,
-                windows(new ReplicaCountController(s1, 300, now), s1, 297 * 7, 1, 300),
-                "one at least");
+        var longest = controller(settings(WINDOW, 10, DELAY, 3600, TARGET, 10), 8);
+        assertEquals(8, runWindows(longest, 0, 360, 8));
+        assertEquals(4, runWindows(longest, 0, 1, 8));
+    }
+
+    @Test
+    void theSmallestStepWorks() {
+        var smallest = settings(WINDOW, 10, DELAY, 0, STEP, 1, TARGET, 10);
+        assertEquals(299, runWindows(controller(smallest, 300), 297 * 7, 1, 300), "one at least");
         assertEquals(
-                297,
-                windows(new ReplicaCountController(s1, 300, now), s1, 0, 1, 300),
-                "one in a hundred at most");
+                297, runWindows(controller(smallest, 300), 0, 1, 300), "one in a hundred at most");
+    }
+
+    @Test
+    void theLowestAndTheHighestUtilizationWork() {
         assertEquals(25, ReplicaCountController.wanted(25, 100 * 0.01));
-        var u = settings(ScalingField.UTILIZATION, 100, ScalingField.TARGET, 10);
-        assertEquals(3, windows(new ReplicaCountController(u, 1, now), u, 25, 1, 9));
+        var highest = controller(settings(UTILIZATION, 100, TARGET, 10), 1);
+        assertEquals(3, runWindows(highest, 25, 1, 9));
     }
 
     @Test
     void aWindowInWhichTooFewEdgesWereHeardMayRaiseAndNeverLower() {
-        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 0, ScalingField.TARGET, 10);
-        var m = new ReplicaCountController(p, 4, now);
-        now += 5 * S;
-        m.sample(0, false, now);
-        now += 5 * S;
-        assertTrue(m.sample(0, true, now));
-        assertEquals(4, m.decide(fleet(9, 4), now));
-        now += 10 * S;
-        m.sample(60, false, now);
-        assertEquals(9, m.decide(fleet(9, 4), now));
+        var controller = controller(settings(WINDOW, 10, DELAY, 0, TARGET, 10), 4);
+        nowUs += 5 * SECOND_US;
+        controller.sample(0, false, nowUs);
+        nowUs += 5 * SECOND_US;
+        assertTrue(controller.sample(0, true, nowUs));
+        assertEquals(4, controller.decide(counts(9, 4), nowUs));
+        nowUs += 10 * SECOND_US;
+        controller.sample(60, false, nowUs);
+        assertEquals(9, controller.decide(counts(9, 4), nowUs));
     }
 
     @Test
-    void fromNothingTheFirstThatWaitsWakesOne() {
-        var p = settings(ScalingField.DELAY, 0, ScalingField.TARGET, 10);
-        var m = new ReplicaCountController(p, 0, now);
-        assertFalse(m.sample(0, true, now += S / 5));
-        assertTrue(m.sample(1, true, now += S / 5), "no window is waited for");
-        assertEquals(1, m.decide(fleet(4, 0), now));
+    void fromZeroTheFirstWaitingRequestStartsOneReplica() {
+        var controller = controller(settings(DELAY, 0, TARGET, 10), 0);
+        nowUs += SECOND_US / 5;
+        assertFalse(controller.sample(0, true, nowUs));
+        nowUs += SECOND_US / 5;
+        assertTrue(controller.sample(1, true, nowUs), "no window is waited for");
+        assertEquals(1, controller.decide(counts(4, 0), nowUs));
     }
 
     @Test
-    void aRefusedDecisionIsShownAndHeld() {
-        var p = settings(ScalingField.WINDOW, 10, ScalingField.DELAY, 10, ScalingField.TARGET, 10);
-        var m = new ReplicaCountController(p, 4, now);
-        assertEquals(2, windows(m, p, 0, 2, 4));
-        m.rejected(4, "model 'm' would run nowhere", now);
-        assertEquals(4, m.desired());
-        assertEquals(ScalingPhase.HELD, m.phase());
-        assertTrue(m.reason().contains("nowhere"));
+    void aRejectedDecisionIsShownAndHeld() {
+        var controller = controller(settings(WINDOW, 10, DELAY, 10, TARGET, 10), 4);
+        assertEquals(2, runWindows(controller, 0, 2, 4));
+        controller.rejected(4, "model 'm' would run nowhere", nowUs);
+        assertEquals(4, controller.desired());
+        assertEquals(ScalingPhase.HELD, controller.phase());
+        assertTrue(controller.reason().contains("nowhere"));
     }
 
-    @Test
-    void valuesOutOfRangeNameModelFieldAndRange() {
-        for (var f : ScalingField.values()) {
-            var x = assertThrows(MartenloomException.class, () -> settings(f, -1));
-            assertTrue(
-                    x.getMessage().contains("'m' " + f.configurationName())
-                            && x.getMessage().contains("from"),
-                    x.getMessage());
-        }
-        assertThrows(MartenloomException.class, () -> settings(ScalingField.STEP, 51));
-        assertThrows(MartenloomException.class, () -> settings(ScalingField.WINDOW, 9.5));
-        assertThrows(
-                MartenloomException.class,
-                () -> settings(ScalingField.FLOOR, 3, ScalingField.CEILING, 2));
-        assertThrows(MartenloomException.class, () -> ScalingSettings.parse("window"));
-        assertThrows(MartenloomException.class, () -> ScalingSettings.parse("wondow=3"));
-        assertEquals(10, ScalingSettings.parse("window=10,delay=5").windowS());
+    private static ScalingSettings randomSettings(Random random) {
+        var floor = random.nextInt(4);
+        var ceiling = Math.max(1, floor + random.nextInt(20));
+        var delayS = random.nextInt(60);
+        var stepPercent = 1 + random.nextInt(50);
+        var target = 1 + random.nextInt(30);
+        var utilization = 1 + random.nextInt(100);
+        return settings(
+                WINDOW,
+                10,
+                DELAY,
+                delayS,
+                STEP,
+                stepPercent,
+                TARGET,
+                target,
+                UTILIZATION,
+                utilization,
+                FLOOR,
+                floor,
+                CEILING,
+                ceiling);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
     void underAnyLoadNeitherBoundNorPaceIsBroken(long seed) {
-        var r = new Random(seed);
-        var floor = r.nextInt(4);
-        var ceiling = Math.max(1, floor + r.nextInt(20));
-        var delay = r.nextInt(60);
-        var step = 1 + r.nextInt(50);
-        var p =
-                settings(
-                        ScalingField.WINDOW,
-                        10,
-                        ScalingField.DELAY,
-                        delay,
-                        ScalingField.STEP,
-                        step,
-                        ScalingField.TARGET,
-                        1 + r.nextInt(30),
-                        ScalingField.UTILIZATION,
-                        1 + r.nextInt(100),
-                        ScalingField.FLOOR,
-                        floor,
-                        ScalingField.CEILING,
-                        ceiling);
-        var m = new ReplicaCountController(p, floor + r.nextInt(ceiling - floor + 1), now);
-        var lowered = now - 3600 * S;
+        var random = new Random(seed);
+        var settings = randomSettings(random);
+        var floor = settings.floor();
+        var ceiling = settings.ceiling();
+        var controller = controller(settings, floor + random.nextInt(ceiling - floor + 1));
+        var loweredUs = nowUs - 3600 * SECOND_US;
         var load = 0;
         for (var i = 0; i < 20_000; i++) {
-            now += S;
-            load = r.nextInt(40) == 0 ? r.nextInt(3) * r.nextInt(400) : load;
-            var enough = r.nextInt(200) > 0;
-            if (!m.sample(load, enough, now)) {
+            nowUs += SECOND_US;
+            load = random.nextInt(40) == 0 ? random.nextInt(3) * random.nextInt(400) : load;
+            var complete = random.nextInt(200) > 0;
+            if (!controller.sample(load, complete, nowUs)) {
                 continue;
             }
-            var was = m.desired();
-            var d = m.decide(fleet(1000, was), now);
-            assertTrue(d >= floor && d <= ceiling, d + " in " + floor + ".." + ceiling);
-            if (d < was) {
-                assertTrue(now - lowered >= delay * S, "two steps down within a delay");
+            var before = controller.desired();
+            var after = controller.decide(counts(1000, before), nowUs);
+            assertTrue(after >= floor && after <= ceiling, after + " in " + floor + ".." + ceiling);
+            if (after < before) {
+                assertTrue(
+                        nowUs - loweredUs >= settings.delayS() * SECOND_US,
+                        "two steps down within a delay");
+                var most = Math.max(1, before * settings.stepPercent() / 100);
                 assertTrue(
-                        was - d <= Math.max(1, was * step / 100),
-                        (was - d) + " of " + was + " at " + step + " percent");
-                lowered = now;
-            } else if (d > was) {
-                lowered = now - 3600 * S;
+                        before - after <= most,
+                        (before - after) + " of " + before + ", at most " + most);
+                loweredUs = nowUs;
+            } else if (after > before) {
+                loweredUs = nowUs - 3600 * SECOND_US;
             }
         }
     }
