--- a/core/src/main/java/martenloom/core/peer/PeerRequests.java
+++ b/core/src/main/java/martenloom/core/peer/PeerRequests.java
@@ -10,6 +10,7 @@
 import martenloom.common.link.PendingRequests;
 import martenloom.common.link.RequestId;
 import martenloom.common.log.RingLog;
+import martenloom.core.state.ResultCode;
 
 /**
  * The requests that this daemon has sent to other core daemons, and the answers that go over the
@@ -25,8 +26,10 @@
             PeerLink link,
             int recordType,
             Consumer<RecordWriter> body,
-            BiConsumer<Integer, String> reply) {
-        var id = pending.register(link, reply);
+            BiConsumer<ResultCode, String> reply) {
+        var id =
+                pending.register(
+                        link, (number, text) -> reply.accept(ResultCode.ofNumber(number), text));
         var out = new RecordWriter(recordType);
         id.write(out);
         body.accept(out);
@@ -55,9 +58,9 @@
     }
 
     /** Answers a request on the link on which it came, under the id that its sender gave it. */
-    public static void answer(PeerLink link, RequestId id, int status, String text) {
+    public static void answer(PeerLink link, RequestId id, ResultCode code, String text) {
         var out = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(out);
-        link.send(out.i32(status).text(text).bytes());
+        link.send(out.i32(code.number()).text(text).bytes());
     }
 }
--- a/launcher/src/main/java/martenloom/launcher/Launcher.java
+++ b/launcher/src/main/java/martenloom/launcher/Launcher.java
@@ -17,7 +17,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 
 /**
@@ -92,7 +92,7 @@
         p.requiredListenAddress("Readiness");
         var n = new EdgeDaemon(p, loop, scaling);
         loop.execute(() -> starting(() -> n.start()));
-        Runtime.getRuntime().addShutdownHook(new Thread(n::leave, "leave"));
+        Runtime.getRuntime().addShutdownHook(new Thread(n::shutDown, "leave"));
     }
 
     private static void core(Settings p, Eventloop loop) throws IOException {
@@ -101,7 +101,7 @@
             throw new InvalidSettingsException(
                     "check settings", "DataDirectory: missing, and this role needs it");
         }
-        var c = new CoreDaemon(p, loop, new VersionedStore.RealFolder(p.dataDirectory()));
+        var c = new CoreDaemon(p, loop, new FileSystemFolder(p.dataDirectory()));
         loop.execute(() -> starting(() -> c.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(c::leave, "leave"));
     }
