--- a/common/src/main/java/martenloom/common/error/InvalidConfigurationException.java
+++ b/common/src/main/java/martenloom/common/error/InvalidConfigurationException.java
@@ -5,7 +5,7 @@
  * message names the item and the reason.
  */
 public final class InvalidConfigurationException extends MartenloomException {
-    /** An error at this daemon itself, for example at the step "check settings". */
+    /** An error at this daemon itself, for example at the step "check configuration". */
     public InvalidConfigurationException(String step, String reason) {
         super(ErrorCode.CONFIGURATION, step, NO_PEER, reason);
     }
--- a/common/src/main/java/martenloom/common/error/LinkException.java
+++ b/common/src/main/java/martenloom/common/error/LinkException.java
@@ -2,7 +2,7 @@
 
 /** A peer or an address could not be reached, or a listening socket not opened. May be retried. */
 public final class LinkException extends MartenloomException {
-    /** An error at this daemon itself, for example at the step "check settings". */
+    /** An error at this daemon itself, for example at the step "open link". */
     public LinkException(String step, String reason) {
         super(ErrorCode.LINK, step, NO_PEER, reason);
     }
--- a/common/src/main/java/martenloom/common/link/PeerLink.java
+++ b/common/src/main/java/martenloom/common/link/PeerLink.java
@@ -53,10 +53,6 @@
         reader.readWhileWanted();
     }
 
-    public boolean isOpen() {
-        return open;
-    }
-
     /** The steady time in microseconds at which bytes last arrived, or of the opening. */
     public long lastReceivedUs() {
         return lastReceivedUs;
--- a/common/src/main/java/martenloom/common/load/ReplicaLoadSummary.java
+++ b/common/src/main/java/martenloom/common/load/ReplicaLoadSummary.java
@@ -29,18 +29,10 @@
         return inFlight;
     }
 
-    public void setInFlight(int inFlight) {
-        this.inFlight = inFlight;
-    }
-
     public int pendingPrefillTokens() {
         return pendingPrefillTokens;
     }
 
-    public void setPendingPrefillTokens(int pendingPrefillTokens) {
-        this.pendingPrefillTokens = pendingPrefillTokens;
-    }
-
     public int suspectingEdges() {
         return suspectingEdges;
     }
--- a/routing/src/main/java/martenloom/routing/placement/Placement.java
+++ b/routing/src/main/java/martenloom/routing/placement/Placement.java
@@ -36,11 +36,6 @@
                 .add(replica);
     }
 
-    /** The replicas of a service in a region. */
-    public Set<String> replicasAt(String service, String region) {
-        return replicas.getOrDefault(service, Map.of()).getOrDefault(region, Set.of());
-    }
-
     private Set<String> regions(String service) {
         var regions = new TreeSet<String>();
         replicas.getOrDefault(service, Map.of())
