--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -24,7 +24,10 @@
 import martenloom.common.settings.Settings;
 import martenloom.core.admin.ShellQueries;
 import martenloom.core.api.ControlApi;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.configuration.CompiledRoutes;
 import martenloom.core.edge.ConfigurationPublisher;
 import martenloom.core.edge.EdgeLeaseRenewals;
@@ -97,14 +100,14 @@
         this.loop = loop;
         store = new VersionedStore(folder);
         var kept = store.load();
-        chain = chain(kept.map(ChainMember.MemberState::of));
+        chain = chain(kept.map(PersistentMemberState::decode));
         registry = new Registry(settings.heartbeatIntervalMs() * 1000L);
         memory = new RegistryCheckpoint(settings, store, registry);
         peers = new CorePeerLinks(loop, settings, chain, memory, this);
         orders = new CommandForwarder(loop, settings, chain, peers, peerRequests, this::carryOut);
         leave = new GracefulShutdown(loop, settings, chain, orders::submit, orders::owesAnswers);
         placement = new PlacementService(settings, chain, registry, routes::of);
-        chain.onSurvey(() -> placement.now().encode());
+        chain.setPlacementSurvey(() -> placement.now().encode());
         duties = new RoleLeaseService(chain, orders::submitLocally, Clocks::nowUs);
         dutyRelay = new LeaseRelay(chain, duties, peers, homes);
         jobClock = new JobClockUpdater(chain, orders);
@@ -128,21 +131,22 @@
     }
 
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
-    private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
+    private ChainMember chain(Optional<PersistentMemberState> onDisk) {
         var disk = onDisk;
         if (disk.isEmpty() && !store.isDamaged() && settings.bootstrap() && founder()) {
             disk = Optional.of(founded());
-            store.write(disk.get().bytes());
+            store.write(disk.get().encode());
         }
         RingLog.debug(
                 "core "
                         + settings.nodeName()
                         + " starts, disk "
-                        + disk.map(member -> "edition " + member.state.edition()).orElse("empty"));
+                        + disk.map(member -> "edition " + member.state().edition())
+                                .orElse("empty"));
         var life = new SecureRandom().nextLong();
         var core = new ChainMember(settings.ipAddress(), life, disk, nearness(), Clocks.nowUs());
-        core.onAway(store.downtimeUs());
-        core.onLeastRoster(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
+        core.setDowntimeUs(store.downtimeUs());
+        core.setMinimumRosterSize(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
         return core;
     }
 
@@ -150,11 +154,9 @@
         return CorePeerLinks.seedIps(settings).contains(settings.ipAddress());
     }
 
-    private ChainMember.MemberState founded() {
-        return new ChainMember.MemberState(
-                ChainMember.Ballot.ZERO,
-                ChainMember.Ballot.ZERO,
-                ClusterState.founded(CorePeerLinks.seedIps(settings)));
+    private PersistentMemberState founded() {
+        return new PersistentMemberState(
+                Ballot.ZERO, Ballot.ZERO, ClusterState.founded(CorePeerLinks.seedIps(settings)));
     }
 
     /**
@@ -174,7 +176,7 @@
                         InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
         listenForCallers();
-        peers.dialAll(chain.memberState().state.roster().members());
+        peers.dialAll(chain.memberState().state().roster().members());
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
@@ -241,14 +243,14 @@
      */
     private boolean acceptsHeartbeats() {
         var now = Clocks.nowUs();
-        return chain.staleUs(now) < CONTACT_US || homes.reliedOn(now);
+        return chain.stalenessUs(now) < CONTACT_US || homes.reliedOn(now);
     }
 
     // ---- time
 
     private void tick() {
         var now = Clocks.nowUs();
-        chain.onKnown(peers.dialed());
+        chain.setKnownMembers(peers.dialed());
         chain.onTick(now);
         carryOut();
         duties.tick(now);
@@ -275,28 +277,30 @@
     // ---- the chain's commands
 
     private void carryOut() {
-        for (var commands = chain.drain(); !commands.isEmpty(); commands = chain.drain()) {
+        for (var commands = chain.drainEffects();
+                !commands.isEmpty();
+                commands = chain.drainEffects()) {
             commands.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Send send) {
+    private void carryOut(ChainEffect command) {
+        if (command instanceof ChainEffect.SendMessage send) {
             peers.dial(send.to());
             peers.send(send.to(), send.record());
-        } else if (command instanceof ChainMember.Store write) {
+        } else if (command instanceof ChainEffect.PersistState write) {
             keep(write);
-        } else if (command instanceof ChainMember.Answer answer) {
+        } else if (command instanceof ChainEffect.CompleteRequest answer) {
             orders.onDecided(answer);
-        } else if (command instanceof ChainMember.Committed committed) {
+        } else if (command instanceof ChainEffect.StateCommitted committed) {
             onCommitted(committed.state());
         }
     }
 
-    private void keep(ChainMember.Store write) {
+    private void keep(ChainEffect.PersistState write) {
         loop.startExternalTask();
         store.writeAsync(
-                () -> write.memberState().bytes(),
+                () -> write.memberState().encode(),
                 () -> {
                     loop.execute(() -> onStored(write.token()));
                     loop.completeExternalTask();
@@ -304,7 +308,7 @@
     }
 
     private void onStored(long token) {
-        chain.onStored(Clocks.nowUs(), token);
+        chain.onPersisted(Clocks.nowUs(), token);
         carryOut();
     }
 
@@ -325,8 +329,8 @@
     @Override
     public void onRecord(PeerLink link, byte[] record) {
         var type = record[0];
-        if (type <= ChainMember.LAST_TYPE) {
-            chain.onRecord(Clocks.nowUs(), link.peer(), record);
+        if (type <= ChainMember.HIGHEST_MESSAGE_TYPE) {
+            chain.onMessage(Clocks.nowUs(), link.peer(), record);
             carryOut();
             return;
         }
--- a/core/src/main/java/martenloom/core/state/JobReports.java
+++ b/core/src/main/java/martenloom/core/state/JobReports.java
@@ -1,13 +1,20 @@
 package martenloom.core.state;
 
+import martenloom.common.jobs.Job;
 import martenloom.common.jobs.JobJson;
 
-/** The jobs of a table as text: in JSON for the control API, in lines for the shell. */
+/** The jobs of a table as text: in JSON for the control API and in lines for the shell. */
 final class JobReports {
     private static final long MS_US = 1_000;
 
     private JobReports() {}
 
+    /** Where a job stands, as the beginning of a reason. */
+    static String standing(Job job) {
+        return "job '" + job.id() + "' is " + job.state().label();
+    }
+
+    /** All jobs with their ages at a stamp, as the control API lists them. */
     static String json(JobTable table, long atUs) {
         var nowUs = table.clockAt(atUs);
         var text = new StringBuilder("{\"Jobs\":[");
@@ -19,6 +26,7 @@
         return text.append("]}").toString();
     }
 
+    /** All jobs with their ages at a stamp, one a line. */
     static String text(JobTable table, long atUs) {
         var nowUs = table.clockAt(atUs);
         var text = new StringBuilder();
--- a/core/src/main/java/martenloom/core/state/JobRunnerRules.java
+++ b/core/src/main/java/martenloom/core/state/JobRunnerRules.java
@@ -41,7 +41,8 @@
     /** Carries out a report about a job that is known. */
     CommandResult<JobTable> decide(JobRunnerCommand report, Job job, LeaseTable leases) {
         if (!leases.isInForce(job.role(), report.fencingToken())) {
-            return conflict("fence " + report.fencingToken() + " is not the grant in force");
+            return CommandResult.conflict(
+                    "fence " + report.fencingToken() + " is not the grant in force");
         }
         if (report instanceof StartJob start) {
             return start(start, job);
@@ -49,8 +50,8 @@
         if (job.state() != JobState.RUNNING
                 || job.fencingToken() != report.fencingToken()
                 || job.attempts() != report.run()) {
-            return conflict(
-                    standing(job)
+            return CommandResult.conflict(
+                    JobReports.standing(job)
                             + " under fence "
                             + job.fencingToken()
                             + ", run "
@@ -70,7 +71,7 @@
      */
     private CommandResult<JobTable> start(StartJob start, Job job) {
         if (job.attempts() != start.run()) {
-            return conflict(
+            return CommandResult.conflict(
                     "job '"
                             + job.id()
                             + "' has had "
@@ -84,7 +85,7 @@
                 return end(job, JobState.UNCERTAIN, reason);
             }
         } else if (job.state() != JobState.WAITING) {
-            return conflict(standing(job));
+            return CommandResult.conflict(JobReports.standing(job));
         }
         var running = job.copy();
         running.setState(JobState.RUNNING);
@@ -106,7 +107,7 @@
             return CommandResult.unchanged("");
         }
         if (output.offset() != saved) {
-            return conflict(savedBytes(job) + ", not " + output.offset());
+            return CommandResult.conflict(savedBytes(job) + ", not " + output.offset());
         }
         var longer = job.copy();
         longer.setLastEventId(output.lastEventId());
@@ -116,7 +117,7 @@
 
     private CommandResult<JobTable> finish(JobCompletion completion, Job job) {
         if (completion.offset() != job.checkpoint().length) {
-            return conflict(savedBytes(job));
+            return CommandResult.conflict(savedBytes(job));
         }
         var done = table.ended(job, JobState.DONE, "", atUs);
         done.setStatus(completion.status());
@@ -151,15 +152,7 @@
         return table.with(table.ended(job, state, reason, atUs), atUs, "");
     }
 
-    private static String standing(Job job) {
-        return "job '" + job.id() + "' is " + job.state().label();
-    }
-
     private static String savedBytes(Job job) {
         return "job '" + job.id() + "' has " + job.checkpoint().length + " bytes kept";
     }
-
-    private static CommandResult<JobTable> conflict(String reason) {
-        return CommandResult.refused(ResultCode.CONFLICT, reason);
-    }
 }
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
@@ -8,7 +8,7 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.link.RequestId;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.state.CommandCodec;
 import martenloom.core.state.StampedCommand;
 
@@ -31,12 +31,12 @@
 
     void forward(StampedCommand change, Reply reply) {
         var chain = process.chain();
-        if (chain.heading()) {
+        if (chain.isHead()) {
             askHere(change, reply);
             return;
         }
         var head = process.connection(chain.head());
-        if (head.isEmpty() || !chain.fresh(process.nowUs())) {
+        if (head.isEmpty() || !chain.isFresh(process.nowUs())) {
             reply.accept(Reply.UNAVAILABLE, "no head is known");
             return;
         }
@@ -52,10 +52,10 @@
     void askHere(StampedCommand change, Reply reply) {
         var id = ++lastLocal;
         local.put(id, reply);
-        process.chain().onAsk(process.nowUs(), id, change);
+        process.chain().submit(process.nowUs(), id, change);
     }
 
-    void onChainAnswer(ChainMember.Answer answer) {
+    void onChainAnswer(ChainEffect.CompleteRequest answer) {
         Optional.ofNullable(local.remove(answer.request()))
                 .ifPresent(r -> r.accept(answer.code().number(), answer.text()));
     }
