--- a/common/src/main/java/martenloom/common/fleet/RecordType.java
+++ b/common/src/main/java/martenloom/common/fleet/RecordType.java
@@ -12,7 +12,7 @@
     /** Between core daemons: digests of the registry by range, to find what was missed. */
     public static final int REGISTRY_DIGEST = 41;
 
-    /** Between core daemons: an order handed to the head of the chain. */
+    /** Between core daemons: a command forwarded to the head of the chain. */
     public static final int ORDER_REQUEST = 42;
 
     /** The answer to {@link #ORDER_REQUEST}, {@link #EDGE_REQUEST} or a confirmed update. */
@@ -51,7 +51,7 @@
     /** From a home to the holder of the role: the live jobs of its region. */
     public static final int JOB_LIST = 65;
 
-    /** An edge sends an order of a singleton role to the core. */
+    /** An edge sends a command of a singleton role to the core. */
     public static final int EDGE_REQUEST = 66;
 
     /** An edge reports its own part of the load to its home. */
--- a/common/src/main/java/martenloom/common/settings/OperatingBounds.java
+++ b/common/src/main/java/martenloom/common/settings/OperatingBounds.java
@@ -2,7 +2,9 @@
 
 /**
  * The bounds on times and rates within which the daemons have to work, from the table [Bounds] of
- * the settings file. Immutable.
+ * the settings file. The times for contact, acknowledgement, draining, application of a
+ * configuration and evacuation are read so that a bad value is reported; no rule of the daemons
+ * uses them. Immutable.
  */
 public final class OperatingBounds {
     private static final int DEFAULT_CONTACT_MS = 4000;
@@ -48,17 +50,14 @@
         maxTtlS = fields.number("Bounds.ttl_max_s", DEFAULT_MAX_TTL_S);
     }
 
-    /** Within this time a daemon that starts has to reach the others. */
     public int contactMs() {
         return contactMs;
     }
 
-    /** How long an operator's call may wait for its acknowledgement. */
     public int acknowledgementTimeoutMs() {
         return acknowledgementTimeoutMs;
     }
 
-    /** Within this time no new request may reach a draining replica. */
     public int drainTimeoutMs() {
         return drainTimeoutMs;
     }
@@ -68,7 +67,6 @@
         return gracePeriodS;
     }
 
-    /** Within this time a configuration has to be in force everywhere. */
     public int configurationApplyMs() {
         return configurationApplyMs;
     }
@@ -88,17 +86,16 @@
         return retryBudgetSlack;
     }
 
-    /** The factor by which a warming replica's request rate may be exceeded. */
+    /** The factor by which a warming replica's request rate is multiplied. */
     public double warmupOverage() {
         return warmupOverage;
     }
 
-    /** Requests each second by which that rate may be exceeded besides. */
+    /** Requests each second that are added to that rate. */
     public double warmupSlack() {
         return warmupSlack;
     }
 
-    /** Within this time an evacuated zone may get no new request. */
     public int evacuationMs() {
         return evacuationMs;
     }
--- a/routing/src/main/java/martenloom/routing/route/ServiceSpec.java
+++ b/routing/src/main/java/martenloom/routing/route/ServiceSpec.java
@@ -97,8 +97,8 @@
     /**
      * Requests that a warming replica may get in any one second, from all edges together.
      *
-     * @param overage the factor by which the configured rate may be exceeded
-     * @param slack requests by which it may be exceeded besides
+     * @param overage the factor by which the configured rate is multiplied
+     * @param slack requests that are added to it
      */
     public int coldRequestsPerS(double overage, double slack) {
         return (int) Math.floor(warmupRequestsPerS * overage + slack);
