--- a/common/src/test/java/martenloom/common/settings/SettingsGoldenTest.java
+++ b/common/src/test/java/martenloom/common/settings/SettingsGoldenTest.java
@@ -77,76 +77,77 @@
             """;
 
     private static String fault(String text) {
-        return assertThrows(MartenloomException.class, () -> Settings.parse(text)).getMessage();
+        return assertThrows(MartenloomException.class, () -> SettingsFile.parse(text)).getMessage();
     }
 
     @Test
     void everyFieldIsRead() {
-        var settings = Settings.parse(SETTINGS);
-        assertEquals("keeper-lowland-2", settings.name);
-        assertEquals("10.7.1.20", settings.ip);
-        assertEquals("lowland-e", settings.zone);
-        assertEquals("lowland", settings.region);
-        assertEquals(7300, settings.portLow);
-        assertEquals(7315, settings.portHigh);
-        assertEquals(List.of("10.7.1.20:8266", "10.8.1.21:8266"), settings.seeds);
-        assertEquals(true, settings.bootstrap);
-        assertEquals(true, settings.quorumMember);
-        assertEquals("/data/keeper", settings.dataDir);
-        assertEquals(900, settings.beatMs);
-        assertEquals(Set.of("control_plane", "registry"), settings.serves);
-        assertEquals(Map.of("lowland-e", "lowland", "highland-f", "highland"), settings.zones);
+        var settings = SettingsFile.parse(SETTINGS);
+        assertEquals("keeper-lowland-2", settings.nodeName());
+        assertEquals("10.7.1.20", settings.ipAddress());
+        assertEquals("lowland-e", settings.zone());
+        assertEquals("lowland", settings.region());
+        assertEquals(7300, settings.firstInternalPort());
+        assertEquals(7315, settings.lastInternalPort());
+        assertEquals(List.of("10.7.1.20:8266", "10.8.1.21:8266"), settings.seedNodes());
+        assertEquals(true, settings.bootstrap());
+        assertEquals(true, settings.quorumMember());
+        assertEquals("/data/keeper", settings.dataDirectory());
+        assertEquals(900, settings.heartbeatIntervalMs());
+        assertEquals(Set.of("control_plane", "registry"), settings.servedRoles());
+        assertEquals(
+                Map.of("lowland-e", "lowland", "highland-f", "highland"), settings.regionByZone());
         assertEquals(
                 Map.of("ControlPlane", "10.7.1.20:8266", "Directory", "10.7.1.20:8268"),
-                settings.listen);
-        assertEquals(3000, settings.maxFds);
-        assertEquals(300, settings.memoryMb);
-        assertEquals(2, settings.tolerateMachines);
+                settings.listenAddresses());
+        assertEquals(3000, settings.maxFileDescriptors());
+        assertEquals(300, settings.memoryMb());
+        assertEquals(2, settings.toleratedMachineFailures());
         assertEquals("highland", settings.regionOf("highland-f"));
         assertEquals("", settings.regionOf("unknown"));
-        assertEquals("10.7.1.20:8266", settings.need("ControlPlane"));
+        assertEquals("10.7.1.20:8266", settings.requiredListenAddress("ControlPlane"));
     }
 
     @Test
     void everyBoundIsRead() {
-        var bounds = Settings.parse(SETTINGS).bounds;
-        assertEquals(4100, bounds.contactMs);
-        assertEquals(5200, bounds.ackTimeoutMs);
-        assertEquals(2600, bounds.drainMs);
-        assertEquals(7.5, bounds.graceS);
-        assertEquals(2700, bounds.configApplyMs);
-        assertEquals(0.25, bounds.retryRatio);
-        assertEquals(11, bounds.retryWindowS);
-        assertEquals(44, bounds.retrySlack);
-        assertEquals(1.25, bounds.warmOverage);
-        assertEquals(6, bounds.warmSlack);
-        assertEquals(5300, bounds.evacuationMs);
-        assertEquals(3.5, bounds.ttlMaxS);
+        var bounds = SettingsFile.parse(SETTINGS).bounds();
+        assertEquals(4100, bounds.contactMs());
+        assertEquals(5200, bounds.acknowledgementTimeoutMs());
+        assertEquals(2600, bounds.drainTimeoutMs());
+        assertEquals(7.5, bounds.gracePeriodS());
+        assertEquals(2700, bounds.configurationApplyMs());
+        assertEquals(0.25, bounds.retryBudgetRatio());
+        assertEquals(11, bounds.retryWindowS());
+        assertEquals(44, bounds.retryBudgetSlack());
+        assertEquals(1.25, bounds.warmupOverage());
+        assertEquals(6, bounds.warmupSlack());
+        assertEquals(5300, bounds.evacuationMs());
+        assertEquals(3.5, bounds.maxTtlS());
     }
 
     @Test
     void whatIsLeftOutHasItsDefault() {
-        var settings = Settings.parse(LEAST_SETTINGS);
-        assertEquals(false, settings.bootstrap);
-        assertEquals(false, settings.quorumMember);
-        assertEquals("", settings.dataDir);
-        assertEquals(1000, settings.beatMs);
-        assertEquals(1024, settings.maxFds);
-        assertEquals(256, settings.memoryMb);
-        assertEquals(1, settings.tolerateMachines);
-        var bounds = settings.bounds;
-        assertEquals(4000, bounds.contactMs);
-        assertEquals(5000, bounds.ackTimeoutMs);
-        assertEquals(2500, bounds.drainMs);
-        assertEquals(8, bounds.graceS);
-        assertEquals(2500, bounds.configApplyMs);
-        assertEquals(0.1, bounds.retryRatio);
-        assertEquals(10, bounds.retryWindowS);
-        assertEquals(10, bounds.retrySlack);
-        assertEquals(1, bounds.warmOverage);
-        assertEquals(0, bounds.warmSlack);
-        assertEquals(5000, bounds.evacuationMs);
-        assertEquals(5, bounds.ttlMaxS);
+        var settings = SettingsFile.parse(LEAST_SETTINGS);
+        assertEquals(false, settings.bootstrap());
+        assertEquals(false, settings.quorumMember());
+        assertEquals("", settings.dataDirectory());
+        assertEquals(1000, settings.heartbeatIntervalMs());
+        assertEquals(1024, settings.maxFileDescriptors());
+        assertEquals(256, settings.memoryMb());
+        assertEquals(1, settings.toleratedMachineFailures());
+        var bounds = settings.bounds();
+        assertEquals(4000, bounds.contactMs());
+        assertEquals(5000, bounds.acknowledgementTimeoutMs());
+        assertEquals(2500, bounds.drainTimeoutMs());
+        assertEquals(8, bounds.gracePeriodS());
+        assertEquals(2500, bounds.configurationApplyMs());
+        assertEquals(0.1, bounds.retryBudgetRatio());
+        assertEquals(10, bounds.retryWindowS());
+        assertEquals(10, bounds.retryBudgetSlack());
+        assertEquals(1, bounds.warmupOverage());
+        assertEquals(0, bounds.warmupSlack());
+        assertEquals(5000, bounds.evacuationMs());
+        assertEquals(5, bounds.maxTtlS());
     }
 
     /** Each line: a line of the file, what stands in its place, and the one-line fault. */
@@ -201,18 +202,22 @@
                 fault("NodeName = \n"));
         assertEquals(
                 "SETTINGS at read settings with here: MARTENLOOM_NODE_FILE is not set",
-                assertThrows(MartenloomException.class, () -> Settings.load(" ")).getMessage());
+                assertThrows(MartenloomException.class, () -> SettingsFile.load(" ")).getMessage());
         assertEquals(
                 "SETTINGS at read settings with here: no-such-file.toml cannot be read"
                         + " (NoSuchFileException)",
-                assertThrows(MartenloomException.class, () -> Settings.load("no-such-file.toml"))
+                assertThrows(
+                                MartenloomException.class,
+                                () -> SettingsFile.load("no-such-file.toml"))
                         .getMessage());
         assertEquals(
                 "SETTINGS at check settings with here: ListenAddresses.ControlPlane: missing, and"
                         + " this role needs it",
                 assertThrows(
                                 MartenloomException.class,
-                                () -> Settings.parse(LEAST_SETTINGS).need("ControlPlane"))
+                                () ->
+                                        SettingsFile.parse(LEAST_SETTINGS)
+                                                .requiredListenAddress("ControlPlane"))
                         .getMessage());
     }
 }
--- a/core/src/main/java/martenloom/core/load/LoadPublisher.java
+++ b/core/src/main/java/martenloom/core/load/LoadPublisher.java
@@ -66,7 +66,7 @@
         }
         var out =
                 new RecordWriter(RecordType.HOME_LOAD)
-                        .text(settings.ip)
+                        .text(settings.ipAddress())
                         .i64(incarnation)
                         .i64(round);
         ownSum.write(out);
@@ -79,7 +79,7 @@
         sentVersion = aggregator.version();
         var out = aggregator.total(ownSum, nowUs).write(new RecordWriter());
         prefixLocations.drainTo(out, Audience.EDGES);
-        ownSum.doubtful().write(out);
+        ownSum.onlySuspected().write(out);
         var total = out.bytes();
         edges.forEach((edgeIp, link) -> link.send(totalLoad(edgeIp, total)));
     }
--- a/core/src/main/java/martenloom/core/state/JobReports.java
+++ b/core/src/main/java/martenloom/core/state/JobReports.java
@@ -1,6 +1,7 @@
 package martenloom.core.state;
 
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobJson;
 
 /** The jobs of a table as text: in JSON for the control API and in lines for the shell. */
 final class JobReports {
@@ -10,7 +11,7 @@
 
     /** Where a job stands, as the beginning of a reason. */
     static String standing(Job job) {
-        return "job '" + job.id + "' is " + job.state.word();
+        return "job '" + job.id() + "' is " + job.state().label();
     }
 
     /** All jobs with their ages at a stamp, as the control API lists them. */
@@ -19,7 +20,7 @@
         var text = new StringBuilder("{\"Jobs\":[");
         var separator = "";
         for (var job : table.byId().values()) {
-            text.append(separator).append(job.json(nowUs));
+            text.append(separator).append(JobJson.render(job, nowUs));
             separator = ",";
         }
         return text.append("]}").toString();
@@ -33,14 +34,14 @@
             text.append(
                     String.format(
                             "%s %s %s age %d ms slack %d ms runs %d fence %d %s\n",
-                            job.id,
-                            job.state.word(),
-                            job.region,
-                            (nowUs - job.submittedUs) / MS_US,
-                            (job.dueUs - nowUs) / MS_US,
-                            job.runs,
-                            job.fence,
-                            job.why));
+                            job.id(),
+                            job.state().label(),
+                            job.region(),
+                            (nowUs - job.submittedUs()) / MS_US,
+                            (job.deadlineUs() - nowUs) / MS_US,
+                            job.attempts(),
+                            job.fencingToken(),
+                            job.reason()));
         }
         return text.toString();
     }
--- a/core/src/test/java/martenloom/core/state/JobTableTest.java
+++ b/core/src/test/java/martenloom/core/state/JobTableTest.java
@@ -9,6 +9,9 @@
 import java.util.List;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobState;
+import martenloom.common.jobs.JobUrgency;
 import martenloom.core.state.Command.AdvanceJobClock;
 import martenloom.core.state.Command.AppendJobOutput;
 import martenloom.core.state.Command.CancelJob;
@@ -40,14 +43,14 @@
 
     private ResultCode submit(String id, boolean repeatable, String text) {
         var job = new Job();
-        job.id = id;
-        job.region = "north";
-        job.repeatable = repeatable;
-        job.body = text.getBytes(StandardCharsets.UTF_8);
-        job.digest = text;
-        job.dueUs = 60_000_000;
+        job.setId(id);
+        job.setRegion("north");
+        job.setRetriable(repeatable);
+        job.setBody(text.getBytes(StandardCharsets.UTF_8));
+        job.setDigest(text);
+        job.setDeadlineUs(60_000_000);
         var out = new RecordWriter();
-        job.write(out);
+        JobCodec.write(job, out);
         return take(new SubmitJob(id, base64(out)), 1000);
     }
 
@@ -82,11 +85,11 @@
     }
 
     private int runs(String id) {
-        return state.jobs().find(id).map(job -> job.runs).orElse(0);
+        return state.jobs().find(id).map(job -> job.attempts()).orElse(0);
     }
 
-    private Job.State stateOf(String id) {
-        return state.jobs().byId().get(id).state;
+    private JobState stateOf(String id) {
+        return state.jobs().byId().get(id).state();
     }
 
     private String result(String id) {
@@ -123,10 +126,10 @@
         start("j", 1, 2000);
         start("k", 1, 2000);
         giveBack("k", 1, runs("k"), 2500);
-        assertEquals(Job.State.WAITING, stateOf("k"), "what did not run may wait again");
+        assertEquals(JobState.WAITING, stateOf("k"), "what did not run may wait again");
         grant("y");
         start("j", 2, 3000);
-        assertEquals(Job.State.UNCERTAIN, stateOf("j"));
+        assertEquals(JobState.UNCERTAIN, stateOf("j"));
     }
 
     @Test
@@ -151,10 +154,10 @@
         start("k", 1, 2000);
         assertEquals(ResultCode.OK, take(new CancelJob("j"), 2100));
         assertEquals(ResultCode.CONFLICT, finish("j", 1, 0, "x", 2200));
-        assertEquals(Job.State.CANCELLED, stateOf("j"));
+        assertEquals(JobState.CANCELLED, stateOf("j"));
         finish("k", 1, 0, "x", 2200);
         assertEquals(ResultCode.CONFLICT, take(new CancelJob("k"), 2300));
-        assertEquals(Job.State.DONE, stateOf("k"));
+        assertEquals(JobState.DONE, stateOf("k"));
     }
 
     @Test
@@ -164,7 +167,7 @@
         assertEquals(ResultCode.OK, start("j", 1, 0, 2000));
         assertEquals(ResultCode.OK, giveBack("j", 1, 1, 2100));
         assertEquals(ResultCode.CONFLICT, start("j", 1, 0, 2200), "a copy of the first start");
-        assertEquals(Job.State.WAITING, stateOf("j"));
+        assertEquals(JobState.WAITING, stateOf("j"));
         assertEquals(ResultCode.OK, start("j", 1, 1, 2300));
         assertEquals(
                 ResultCode.CONFLICT,
@@ -172,7 +175,7 @@
                 "a copy that gave the first run back");
         assertEquals(ResultCode.CONFLICT, finish("j", 1, 1, 0, "first", 2400));
         assertEquals(
-                Job.State.RUNNING, stateOf("j"), "what may not be repeated runs once at a time");
+                JobState.RUNNING, stateOf("j"), "what may not be repeated runs once at a time");
         assertEquals(ResultCode.OK, finish("j", 1, 2, 0, "second", 2500));
     }
 
@@ -197,9 +200,9 @@
     void theClockEndsWhatIsPastDueAndForgetsOldEnds() {
         submit("j", true, "t");
         take(new AdvanceJobClock(), 59_000_000);
-        assertEquals(Job.State.WAITING, stateOf("j"));
+        assertEquals(JobState.WAITING, stateOf("j"));
         take(new AdvanceJobClock(), 70_000_000);
-        assertEquals(Job.State.EXPIRED, stateOf("j"));
+        assertEquals(JobState.EXPIRED, stateOf("j"));
         take(new AdvanceJobClock(), 5_000);
         assertEquals(70_000_000, state.jobs().clockUs(), "the clock does not go back");
         take(new AdvanceJobClock(), 80_000_000 + JobTable.RETENTION_US);
@@ -209,11 +212,11 @@
     @Test
     void urgencyRisesStepByStep() {
         var h = 3_600_000_000L;
-        assertEquals(0, Job.urgency(h * 6 / 10, h));
-        assertEquals(1, Job.urgency(h * 4 / 10, h));
-        assertEquals(2, Job.urgency(h / 10, h));
-        assertEquals(2, Job.urgency(15_000_000, h));
-        assertEquals(3, Job.urgency(4_000_000, h));
+        assertEquals(0, JobUrgency.of(h * 6 / 10, h));
+        assertEquals(1, JobUrgency.of(h * 4 / 10, h));
+        assertEquals(2, JobUrgency.of(h / 10, h));
+        assertEquals(2, JobUrgency.of(15_000_000, h));
+        assertEquals(3, JobUrgency.of(4_000_000, h));
     }
 
     @Test
--- a/edge/src/main/java/martenloom/edge/admin/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/admin/ShellQueries.java
@@ -54,13 +54,13 @@
             case "overload" -> overload(now);
             case "leases" -> roles.text(now);
             case "replicas" -> replicas(now);
-            case "configuration" -> RoutingLanguage.write(dispatcher.table());
+            case "configuration" -> RoutingLanguage.print(dispatcher.table());
             case "home" -> home.get();
             case "jobs" -> jobs.text();
             case "scaling" -> scaler.text(now);
             case "places" -> dispatcher.prefixOwners().text(PREFIX_LINES);
-            case "traffic" -> LinkTraffic.text();
-            case "log" -> RingLog.tail(LOG_LINES);
+            case "traffic" -> LinkTraffic.report();
+            case "log" -> RingLog.recent(LOG_LINES);
             default ->
                     "? counters overload leases replicas configuration home jobs scaling"
                             + " places traffic log\n";
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptStarter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptStarter.java
@@ -31,13 +31,17 @@
             PrefixCacheOwnership prefixCache,
             DispatchCounters counters) {
         this.loop = loop;
-        ownRegion = settings.region;
+        ownRegion = settings.region();
         this.cluster = cluster;
         this.selector = selector;
         this.prefixCache = prefixCache;
         this.counters = counters;
-        var bounds = settings.bounds;
-        budget = new RetryBudget(bounds.retryRatio, bounds.retryWindowS, bounds.retrySlack);
+        var bounds = settings.bounds();
+        budget =
+                new RetryBudget(
+                        bounds.retryBudgetRatio(),
+                        bounds.retryWindowS(),
+                        bounds.retryBudgetSlack());
     }
 
     /** Counts a client's request, by which the retry budget of its service grows. */
@@ -106,12 +110,12 @@
 
     /** Engines keep the segments of a prompt for those that come after it. */
     private void rememberPrefix(Request request, ReplicaEndpoint replica) {
-        var service = cluster.table().services.get(request.service());
-        if (service == null || !service.engine) {
+        var service = cluster.table().services().get(request.service());
+        if (service == null || !service.inferenceEngine()) {
             return;
         }
         var prompt = request.prompt();
-        replica.prefixCache().add(prompt, service.cacheTokens);
+        replica.prefixCache().add(prompt, service.cacheTokens());
         if (prompt.hasLargeShared()) {
             prefixCache.onSent(prompt, replica);
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
@@ -7,6 +7,7 @@
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * What this edge knows of the cluster from the core: the route table in force, the evacuated zones,
@@ -42,8 +43,8 @@
     }
 
     /** A service as the table describes it, or one without an engine and without limits. */
-    RouteTable.Service service(String name) {
-        return Optional.ofNullable(table.services.get(name)).orElseGet(RouteTable.Service::new);
+    ServiceSpec service(String name) {
+        return Optional.ofNullable(table.services().get(name)).orElse(ServiceSpec.UNKNOWN);
     }
 
     Set<String> evacuatedZones() {
@@ -85,11 +86,11 @@
     }
 
     private Optional<ReplicaPlacement> placement(ReplicaEndpoint replica) {
-        var service = table.services.get(replica.service());
-        return service == null || !service.engine
+        var service = table.services().get(replica.service());
+        return service == null || !service.inferenceEngine()
                 ? Optional.empty()
                 : Optional.ofNullable(
-                        placements.get(regionAndModel(replica.region(), service.model)));
+                        placements.get(regionAndModel(replica.region(), service.model())));
     }
 
     /** Replicas of a zone that is no longer evacuated start cold. */
@@ -97,8 +98,8 @@
         for (var replica : replicaTable.all()) {
             var zone = replica.zone();
             if (evacuatedZones.contains(zone) && !zones.contains(zone)) {
-                var service = table.services.get(replica.service());
-                var warmupUs = service == null ? 0 : service.warmUs;
+                var service = table.services().get(replica.service());
+                var warmupUs = service == null ? 0 : service.warmupUs();
                 replica.warmup()
                         .restart(
                                 warmupUs == 0 ? 0 : nowUs + warmupUs + EVACUATION_WARMUP_MARGIN_US);
--- a/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ReplicaSelector.java
@@ -8,7 +8,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * Picks the replica that a request goes to. Large shared segments of prompts go to the replica that
@@ -67,7 +67,7 @@
             CandidateFilter filter,
             PrefixCacheOwnership prefixCache,
             OverloadReduction overload) {
-        ownRegion = settings.region;
+        ownRegion = settings.region();
         this.replicaTable = replicaTable;
         this.cluster = cluster;
         this.filter = filter;
@@ -82,7 +82,7 @@
         var replicas = replicaTable.ofService(request.service());
         var withheldBy = new ArrayList<String>();
         var selected = Optional.<ReplicaEndpoint>empty();
-        if (service.engine && request.prompt().hasLargeShared()) {
+        if (service.inferenceEngine() && request.prompt().hasLargeShared()) {
             selected = selectPrefixOwner(replicas, service, request, withheldBy, nowUs);
         }
         if (selected.isEmpty()) {
@@ -102,14 +102,14 @@
 
     /** The time within which a replica must answer to have room for a request. */
     private static double roomUs(Request request, long nowUs) {
-        return request.route().aimUs * ROOM - (nowUs - request.arrivedUs());
+        return request.route().latencyTargetUs() * ROOM - (nowUs - request.arrivedUs());
     }
 
     // ---- by prefix cache
 
     private Optional<ReplicaEndpoint> selectPrefixOwner(
             List<ReplicaEndpoint> replicas,
-            RouteTable.Service service,
+            ServiceSpec service,
             Request request,
             List<String> withheldBy,
             long nowUs) {
@@ -122,7 +122,7 @@
                     && ownerHasRoom(owner, service, request, firstHasCache && i == 0, nowUs)
                     && !(isRemote(owner.region())
                             && overload.withholds(
-                                    request, owner.region(), service.model, withheldBy, nowUs))) {
+                                    request, owner.region(), service.model(), withheldBy, nowUs))) {
                 return Optional.of(owner);
             }
         }
@@ -130,7 +130,7 @@
     }
 
     private int maxInFlightOfOwner(
-            List<ReplicaEndpoint> owners, RouteTable.Service service, Request request, long nowUs) {
+            List<ReplicaEndpoint> owners, ServiceSpec service, Request request, long nowUs) {
         var least = Integer.MAX_VALUE;
         for (var owner : owners) {
             if (filter.isUsable(owner, service, request, nowUs)) {
@@ -144,7 +144,7 @@
 
     private boolean ownerHasRoom(
             ReplicaEndpoint owner,
-            RouteTable.Service service,
+            ServiceSpec service,
             Request request,
             boolean cached,
             long nowUs) {
@@ -156,7 +156,7 @@
 
     private static double cachedRoomUs(Request request, long nowUs) {
         var ageUs = nowUs - request.arrivedUs();
-        var aimUs = request.route().aimUs;
+        var aimUs = request.route().latencyTargetUs();
         return ageUs > aimUs * OWNER_LATE_FROM
                 ? (request.deadlineUs() - nowUs) * OWNER_LATE_ROOM
                 : aimUs * OWNER_ROOM - ageUs;
@@ -166,7 +166,7 @@
 
     private Optional<ReplicaEndpoint> selectByRegion(
             List<ReplicaEndpoint> replicas,
-            RouteTable.Service service,
+            ServiceSpec service,
             Request request,
             List<String> withheldBy,
             long nowUs) {
@@ -196,16 +196,16 @@
     private boolean isWithheld(
             Request request,
             String region,
-            RouteTable.Service service,
+            ServiceSpec service,
             List<String> withheldBy,
             long nowUs) {
-        return service.engine
-                && overload.withholds(request, region, service.model, withheldBy, nowUs);
+        return service.inferenceEngine()
+                && overload.withholds(request, region, service.model(), withheldBy, nowUs);
     }
 
     private static double maxFallbackUs(Request request, long nowUs) {
         return Math.min(
-                request.route().aimUs * FALLBACK_LATENCY,
+                request.route().latencyTargetUs() * FALLBACK_LATENCY,
                 (request.deadlineUs() - nowUs) * FALLBACK_TIME_LEFT);
     }
 
@@ -226,12 +226,12 @@
 
     private Candidate cheapest(
             List<ReplicaEndpoint> replicas,
-            RouteTable.Service service,
+            ServiceSpec service,
             Request request,
             String region,
             long nowUs) {
         var owner =
-                service.engine && request.prompt().hasShared()
+                service.inferenceEngine() && request.prompt().hasShared()
                         ? prefixCache.ownerInRegion(replicas, request, region)
                         : Optional.<ReplicaEndpoint>empty();
         var cheapest = Optional.<ReplicaEndpoint>empty();
--- a/edge/src/main/java/martenloom/edge/dispatch/Request.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Request.java
@@ -7,7 +7,7 @@
 import martenloom.edge.http.HeaderField;
 import martenloom.edge.http.MessageHead;
 import martenloom.edge.replica.Prompt;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
 
 /**
  * One request on its way through the edge: what was asked, how much time is left, which attempts it
@@ -32,7 +32,7 @@
 
     private final MessageHead head;
     private final byte[] body;
-    private final RouteTable.Route route;
+    private final Route route;
     private final String service;
     private final ResponseSink sink;
     private final String id;
@@ -76,7 +76,7 @@
     public Request(
             MessageHead head,
             byte[] body,
-            RouteTable.Route route,
+            Route route,
             String service,
             ResponseSink sink,
             long arrivedUs) {
@@ -92,14 +92,14 @@
         prompt = new Prompt(head.get(HeaderField.PROMPT_PREFIX), head.get(HeaderField.TOKEN_USAGE));
         var remainingMs = HeaderField.parseNumber(head.get(HeaderField.TIME_REMAINING));
         clientDeadlineUs = remainingMs >= 0 ? arrivedUs + remainingMs * 1000 : Long.MAX_VALUE;
-        deadlineUs = Math.min(clientDeadlineUs, arrivedUs + route.timeoutUs);
+        deadlineUs = Math.min(clientDeadlineUs, arrivedUs + route.timeoutUs());
     }
 
     /** The client's time runs from the moment at which its request began to come in. */
     void countClientTimeFrom(long beganUs) {
         if (clientDeadlineUs != Long.MAX_VALUE) {
             clientDeadlineUs += beganUs - arrivedUs;
-            deadlineUs = Math.min(clientDeadlineUs, arrivedUs + route.timeoutUs);
+            deadlineUs = Math.min(clientDeadlineUs, arrivedUs + route.timeoutUs());
         }
     }
 
@@ -119,7 +119,7 @@
         return body;
     }
 
-    RouteTable.Route route() {
+    Route route() {
         return route;
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestAdmission.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestAdmission.java
@@ -53,7 +53,7 @@
 
     /** Admits the request of a client; empty if it was answered with an error instead. */
     Optional<Request> admit(ClientConnection client, MessageHead head, byte[] body, long nowUs) {
-        if (cluster.table().revision == 0) {
+        if (cluster.table().revision() == 0) {
             rejectBeforeConfiguration(client, nowUs);
             return Optional.empty();
         }
@@ -63,7 +63,7 @@
             return Optional.empty();
         }
         var route = found.get();
-        var service = route.service(roundRobin.next(SERVICE_STEP));
+        var service = route.pickService(roundRobin.next(SERVICE_STEP));
         var sink = shutdownPolicy.sinkFor(client, route, nowUs);
         var request = new Request(head, body, route, service, sink, nowUs);
         request.countClientTimeFrom(client.requestBeganUs());
@@ -99,7 +99,7 @@
                                         head,
                                         body,
                                         route,
-                                        route.service(roundRobin.next(SERVICE_STEP)),
+                                        route.pickService(roundRobin.next(SERVICE_STEP)),
                                         sink,
                                         nowUs));
     }
--- a/edge/src/main/java/martenloom/edge/dispatch/ShutdownAdmissionPolicy.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ShutdownAdmissionPolicy.java
@@ -2,7 +2,8 @@
 
 import martenloom.edge.http.ErrorResponse;
 import martenloom.edge.http.HttpStatus;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
+import martenloom.routing.route.RouteKind;
 
 /**
  * Decides which requests an edge still admits while it shuts down. Until the moment is known at
@@ -23,17 +24,17 @@
     /** Learns from a request that was answered in full. */
     void onAnswered(Request request, long nowUs) {
         if (!request.isJob()) {
-            durations.record(request.route().name, nowUs - request.arrivedUs(), nowUs);
+            durations.record(request.route().name(), nowUs - request.arrivedUs(), nowUs);
         }
     }
 
     /** What stands before the client of a new request on this route. */
-    ResponseSink sinkFor(ClientConnection client, RouteTable.Route route, long nowUs) {
-        if (route.kind != RouteTable.Kind.STREAMING || nowUs + route.timeoutUs <= terminationUs) {
+    ResponseSink sinkFor(ClientConnection client, Route route, long nowUs) {
+        if (route.kind() != RouteKind.STREAMING || nowUs + route.timeoutUs() <= terminationUs) {
             return client;
         }
         var failure =
-                route.repeatable() ? HttpStatus.SERVICE_UNAVAILABLE : HttpStatus.GATEWAY_TIMEOUT;
+                route.retriable() ? HttpStatus.SERVICE_UNAVAILABLE : HttpStatus.GATEWAY_TIMEOUT;
         return new BufferedStream(client, ErrorResponse.head(failure));
     }
 
@@ -43,7 +44,7 @@
                 && nowUs + expectedUs(request.route(), nowUs) > terminationUs;
     }
 
-    private long expectedUs(RouteTable.Route route, long nowUs) {
-        return durations.maximumUs(route.name, route.aimUs, nowUs);
+    private long expectedUs(Route route, long nowUs) {
+        return durations.maximumUs(route.name(), route.latencyTargetUs(), nowUs);
     }
 }
--- a/edge/src/main/java/martenloom/edge/home/CoreClient.java
+++ b/edge/src/main/java/martenloom/edge/home/CoreClient.java
@@ -7,8 +7,9 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.common.link.PendingRequests;
+import martenloom.common.link.RequestId;
 import martenloom.common.log.RingLog;
 
 /**
@@ -21,7 +22,7 @@
 
     private final Eventloop loop;
     private final HomeConnection home;
-    private final PendingRequests<PeerLinks.Link> pending =
+    private final PendingRequests<PeerLink> pending =
             new PendingRequests<>(new SecureRandom().nextLong());
 
     public CoreClient(Eventloop loop, HomeConnection home) {
@@ -40,7 +41,7 @@
             return;
         }
         var id =
-                pending.open(
+                pending.register(
                         link.get(), (status, text) -> onReply.accept(new CoreReply(status, text)));
         var out = new RecordWriter(RecordType.EDGE_REQUEST);
         id.write(out);
@@ -56,15 +57,15 @@
     }
 
     /** Passes a reply of the core on to the caller that waits for it. */
-    public void onReply(PeerLinks.Link link, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
-        if (!pending.answered(id, link, in.i32(), in.text())) {
-            RingLog.note("link " + link.peer + ": a reply to no request of ours is dropped");
+    public void onReply(PeerLink link, RecordReader in) {
+        var id = RequestId.read(in);
+        if (!pending.complete(id, link, in.i32(), in.text())) {
+            RingLog.debug("link " + link.peer() + ": a reply to no request of ours is dropped");
         }
     }
 
     /** Gives up the requests whose replies could only have come on this link. */
-    public void onClosed(PeerLinks.Link link) {
-        pending.closed(link, "the link to the home closed before an answer");
+    public void onClosed(PeerLink link) {
+        pending.channelClosed(link, "the link to the home closed before an answer");
     }
 }
--- a/edge/src/main/java/martenloom/edge/lease/RoleLeases.java
+++ b/edge/src/main/java/martenloom/edge/lease/RoleLeases.java
@@ -7,7 +7,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.RoutingView;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * The singleton roles of this edge's region: which there are, which of them it requests of the
@@ -33,9 +33,9 @@
         this.settings = settings;
         this.routing = routing;
         this.replicaTable = replicaTable;
-        holder = settings.ip + "#" + Long.toHexString(incarnation);
-        jobRole = "jobs/" + settings.region;
-        scalingRole = "scale/" + settings.region;
+        holder = settings.ipAddress() + "#" + Long.toHexString(incarnation);
+        jobRole = "jobs/" + settings.region();
+        scalingRole = "scale/" + settings.region();
     }
 
     /**
@@ -47,7 +47,7 @@
     }
 
     private String reportingRole(String model) {
-        return settings.region + "/" + model;
+        return settings.region() + "/" + model;
     }
 
     /**
@@ -58,9 +58,9 @@
      */
     public Collection<String> wanted(boolean jobsExist) {
         var wanted = new TreeSet<String>();
-        routing.table().services.values().stream()
-                .filter(service -> service.engine && hasReplicaInRegion(service))
-                .forEach(service -> wanted.add(reportingRole(service.model)));
+        routing.table().services().values().stream()
+                .filter(service -> service.inferenceEngine() && hasReplicaInRegion(service))
+                .forEach(service -> wanted.add(reportingRole(service.model())));
         if (!wanted.isEmpty()) {
             wanted.add(scalingRole);
         }
@@ -70,9 +70,9 @@
         return wanted;
     }
 
-    private boolean hasReplicaInRegion(RouteTable.Service service) {
-        return replicaTable.ofService(service.name).stream()
-                .anyMatch(replica -> replica.region().equals(settings.region));
+    private boolean hasReplicaInRegion(ServiceSpec service) {
+        return replicaTable.ofService(service.name()).stream()
+                .anyMatch(replica -> replica.region().equals(settings.region()));
     }
 
     /**
--- a/edge/src/main/java/martenloom/edge/overload/OverloadReportPublisher.java
+++ b/edge/src/main/java/martenloom/edge/overload/OverloadReportPublisher.java
@@ -57,7 +57,8 @@
                 reporters.computeIfAbsent(
                         key,
                         absent ->
-                                new OverloadReporter(key.substring(0, slash), model, settings.ip));
+                                new OverloadReporter(
+                                        key.substring(0, slash), model, settings.ipAddress()));
         reporter.onLease(fencingToken);
         reporter.observe(estimator.pressure(model, now))
                 .filter(report -> isDue(report, now))
--- a/edge/src/test/java/martenloom/edge/replica/ReplicaTableTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReplicaTableTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -24,16 +24,16 @@
             a = "g"
             [ListenAddresses]
             """;
-    private final ReplicaTable replicaTable = new ReplicaTable(Settings.parse(SETTINGS));
+    private final ReplicaTable replicaTable = new ReplicaTable(SettingsFile.parse(SETTINGS));
 
     private static ReplicaRecord registration(long sequence, boolean draining, boolean gone) {
         var registration = new ReplicaRecord();
-        registration.id = "i";
-        registration.address = "10.0.0.9:80";
-        registration.zone = "a";
-        registration.seq = sequence;
-        registration.draining = draining;
-        registration.gone = gone;
+        registration.setId("i");
+        registration.setAddress("10.0.0.9:80");
+        registration.setZone("a");
+        registration.setSequence(sequence);
+        registration.setDraining(draining);
+        registration.setEnded(gone);
         return registration;
     }
 
