--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -16,12 +16,18 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.core.admin.ShellQueries;
 import martenloom.core.api.ControlApi;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.configuration.CompiledRoutes;
 import martenloom.core.edge.ConfigurationPublisher;
 import martenloom.core.edge.EdgeLeaseRenewals;
@@ -41,6 +47,7 @@
 import martenloom.core.registry.RegistryCheckpoint;
 import martenloom.core.registry.ReplicaUpdatePublisher;
 import martenloom.core.state.ClusterState;
+import martenloom.core.storage.StorageFolder;
 import martenloom.core.storage.VersionedStore;
 import martenloom.core.warmup.WarmupPermitLender;
 
@@ -50,7 +57,7 @@
  * commands are carried out here and nowhere else. Runs on the reactor thread, but for {@link
  * #leave}.
  */
-public final class CoreDaemon implements PeerLinks.Handler {
+public final class CoreDaemon implements PeerLinkHandler {
     private static final long TICK_US = 50_000;
     private static final long FLOOD_US = 100_000;
     private static final long DIGEST_US = 500_000;
@@ -87,20 +94,20 @@
     private final EdgeLeaseRenewals renewals;
     private final ShellQueries shellQueries;
 
-    public CoreDaemon(Settings settings, Eventloop loop, VersionedStore.Folder folder) {
+    public CoreDaemon(Settings settings, Eventloop loop, StorageFolder folder) {
         var startUs = Clocks.nowUs();
         this.settings = settings;
         this.loop = loop;
         store = new VersionedStore(folder);
         var kept = store.load();
-        chain = chain(kept.map(ChainMember.MemberState::of));
-        registry = new Registry(settings.beatMs * 1000L);
+        chain = chain(kept.map(PersistentMemberState::decode));
+        registry = new Registry(settings.heartbeatIntervalMs() * 1000L);
         memory = new RegistryCheckpoint(settings, store, registry);
         peers = new CorePeerLinks(loop, settings, chain, memory, this);
         orders = new CommandForwarder(loop, settings, chain, peers, peerRequests, this::carryOut);
         leave = new GracefulShutdown(loop, settings, chain, orders::submit, orders::owesAnswers);
         placement = new PlacementService(settings, chain, registry, routes::of);
-        chain.onSurvey(() -> placement.now().text());
+        chain.setPlacementSurvey(() -> placement.now().encode());
         duties = new RoleLeaseService(chain, orders::submitLocally, Clocks::nowUs);
         dutyRelay = new LeaseRelay(chain, duties, peers, homes);
         jobClock = new JobClockUpdater(chain, orders);
@@ -109,7 +116,7 @@
                         loop, settings, chain, registry, peers, peerRequests, homes);
         loads = new LoadPublisher(settings, peers, homes);
         configurations = new ConfigurationPublisher(chain, homes);
-        var firstStart = kept.isEmpty() && settings.bootstrap;
+        var firstStart = kept.isEmpty() && settings.bootstrap();
         coldSends =
                 new WarmupPermitLender(
                         settings, chain, registry, routes, memory, peers, homes, firstStart);
@@ -124,33 +131,32 @@
     }
 
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
-    private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
+    private ChainMember chain(Optional<PersistentMemberState> onDisk) {
         var disk = onDisk;
-        if (disk.isEmpty() && !store.damaged() && settings.bootstrap && founder()) {
+        if (disk.isEmpty() && !store.isDamaged() && settings.bootstrap() && founder()) {
             disk = Optional.of(founded());
-            store.keep(disk.get().bytes());
+            store.write(disk.get().encode());
         }
-        RingLog.note(
+        RingLog.debug(
                 "core "
-                        + settings.name
+                        + settings.nodeName()
                         + " starts, disk "
-                        + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
+                        + disk.map(member -> "edition " + member.state().edition())
+                                .orElse("empty"));
         var life = new SecureRandom().nextLong();
-        var core = new ChainMember(settings.ip, life, disk, nearness(), Clocks.nowUs());
-        core.onAway(store.awayUs());
-        core.onLeastRoster(2 * Math.max(1, settings.tolerateMachines) + 1);
+        var core = new ChainMember(settings.ipAddress(), life, disk, nearness(), Clocks.nowUs());
+        core.setDowntimeUs(store.downtimeUs());
+        core.setMinimumRosterSize(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
         return core;
     }
 
     private boolean founder() {
-        return CorePeerLinks.seedIps(settings).contains(settings.ip);
+        return CorePeerLinks.seedIps(settings).contains(settings.ipAddress());
     }
 
-    private ChainMember.MemberState founded() {
-        return new ChainMember.MemberState(
-                ChainMember.Ballot.ZERO,
-                ChainMember.Ballot.ZERO,
-                ClusterState.founded(CorePeerLinks.seedIps(settings)));
+    private PersistentMemberState founded() {
+        return new PersistentMemberState(
+                Ballot.ZERO, Ballot.ZERO, ClusterState.founded(CorePeerLinks.seedIps(settings)));
     }
 
     /**
@@ -158,7 +164,7 @@
      * seldom as it can.
      */
     private Comparator<String> nearness() {
-        var network = settings.ip.substring(0, settings.ip.lastIndexOf('.') + 1);
+        var network = settings.ipAddress().substring(0, settings.ipAddress().lastIndexOf('.') + 1);
         return Comparator.<String, Boolean>comparing(member -> !member.startsWith(network))
                 .thenComparing(member -> member);
     }
@@ -166,16 +172,21 @@
     public void start() throws IOException {
         PeerLinks.listen(
                 loop,
-                new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
+                new InetSocketAddress(
+                        InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
         listenForCallers();
-        peers.dialAll(chain.memberState().state.roster);
+        peers.dialAll(chain.memberState().state().roster().members());
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
         Clocks.every(loop, DIGEST_US, this::mend);
-        Clocks.every(loop, SUM_US, loads::exchange);
-        RingLog.say("core " + settings.name + " ready at " + settings.need("ControlPlane"));
+        Clocks.every(loop, SUM_US, loads::publish);
+        RingLog.info(
+                "core "
+                        + settings.nodeName()
+                        + " ready at "
+                        + settings.requiredListenAddress("ControlPlane"));
     }
 
     private void listenForCallers() throws IOException {
@@ -192,9 +203,9 @@
                         peers::regionOutside,
                         orders::inTouch);
         var addresses = new LinkedHashSet<InetSocketAddress>();
-        addresses.add(Settings.address("ControlPlane", settings.need("ControlPlane")));
-        if (settings.listen.containsKey("Directory")) {
-            addresses.add(Settings.address("Directory", settings.need("Directory")));
+        addresses.add(IpPort.parse("ControlPlane", settings.requiredListenAddress("ControlPlane")));
+        if (settings.listenAddresses().containsKey("Directory")) {
+            addresses.add(IpPort.parse("Directory", settings.requiredListenAddress("Directory")));
         }
         HttpServer.builder(
                         loop,
@@ -210,7 +221,7 @@
     }
 
     public void stop() {
-        RingLog.note("core stops");
+        RingLog.debug("core stops");
         peers.stop();
     }
 
@@ -232,14 +243,14 @@
      */
     private boolean acceptsHeartbeats() {
         var now = Clocks.nowUs();
-        return chain.staleUs(now) < CONTACT_US || homes.reliedOn(now);
+        return chain.stalenessUs(now) < CONTACT_US || homes.reliedOn(now);
     }
 
     // ---- time
 
     private void tick() {
         var now = Clocks.nowUs();
-        chain.onKnown(peers.dialed());
+        chain.setKnownMembers(peers.dialed());
         chain.onTick(now);
         carryOut();
         duties.tick(now);
@@ -266,28 +277,30 @@
     // ---- the chain's commands
 
     private void carryOut() {
-        for (var commands = chain.drain(); !commands.isEmpty(); commands = chain.drain()) {
+        for (var commands = chain.drainEffects();
+                !commands.isEmpty();
+                commands = chain.drainEffects()) {
             commands.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Send send) {
+    private void carryOut(ChainEffect command) {
+        if (command instanceof ChainEffect.SendMessage send) {
             peers.dial(send.to());
             peers.send(send.to(), send.record());
-        } else if (command instanceof ChainMember.Store write) {
+        } else if (command instanceof ChainEffect.PersistState write) {
             keep(write);
-        } else if (command instanceof ChainMember.Answer answer) {
+        } else if (command instanceof ChainEffect.CompleteRequest answer) {
             orders.onDecided(answer);
-        } else if (command instanceof ChainMember.Committed committed) {
+        } else if (command instanceof ChainEffect.StateCommitted committed) {
             onCommitted(committed.state());
         }
     }
 
-    private void keep(ChainMember.Store write) {
+    private void keep(ChainEffect.PersistState write) {
         loop.startExternalTask();
-        store.keepLater(
-                () -> write.memberState().bytes(),
+        store.writeAsync(
+                () -> write.memberState().encode(),
                 () -> {
                     loop.execute(() -> onStored(write.token()));
                     loop.completeExternalTask();
@@ -295,29 +308,29 @@
     }
 
     private void onStored(long token) {
-        chain.onStored(Clocks.nowUs(), token);
+        chain.onPersisted(Clocks.nowUs(), token);
         carryOut();
     }
 
     private void onCommitted(ClusterState state) {
-        RingLog.note(
+        RingLog.debug(
                 "committed edition "
-                        + state.edition
+                        + state.edition()
                         + " revision "
-                        + state.revision
+                        + state.configuration().revision()
                         + " in view "
                         + chain.view());
-        peers.dialAll(state.roster);
+        peers.dialAll(state.roster().members());
         configurations.onCommitted(state);
     }
 
     // ---- records
 
     @Override
-    public void onRecord(PeerLinks.Link link, byte[] record) {
+    public void onRecord(PeerLink link, byte[] record) {
         var type = record[0];
-        if (type <= ChainMember.LAST_TYPE) {
-            chain.onRecord(Clocks.nowUs(), link.peer, record);
+        if (type <= ChainMember.HIGHEST_MESSAGE_TYPE) {
+            chain.onMessage(Clocks.nowUs(), link.peer(), record);
             carryOut();
             return;
         }
@@ -331,19 +344,19 @@
             case RecordType.ORDER_REQUEST -> orders.onOrder(link, in);
             case RecordType.ORDER_RESPONSE -> peerRequests.onAnswer(link, in);
             case RecordType.EDGE_LEASE_RENEWAL -> renewals.onRenew(link, in, Clocks.nowUs());
-            case RecordType.LOAD_SAMPLE -> loads.onSample(in);
+            case RecordType.LOAD_SAMPLE -> loads.onEdgeSample(in);
             case RecordType.HOME_LOAD -> loads.onHomeSum(in);
             case RecordType.OVERLOAD_REPORT -> dutyRelay.onReport(link, record, in);
             case RecordType.RESYNC_REQUEST -> renewals.onResync(link, Clocks.nowUs());
             case RecordType.EDGE_REQUEST -> orders.onEdgeOrder(link, in);
-            case RecordType.LEASE_REQUEST -> dutyRelay.onWant(link, in);
+            case RecordType.LEASE_REQUEST -> dutyRelay.onRequest(link, in);
             case RecordType.LEASE_GRANT -> dutyRelay.onGrant(link, record, in);
             case RecordType.SHELL_QUERY -> answerQuery(link, in.text());
-            default -> RingLog.note("link " + link.peer + ": unknown record " + type);
+            default -> RingLog.debug("link " + link.peer() + ": unknown record " + type);
         }
     }
 
-    private void answerQuery(PeerLinks.Link link, String query) {
+    private void answerQuery(PeerLink link, String query) {
         link.send(
                 new RecordWriter(RecordType.SHELL_RESPONSE)
                         .text(shellQueries.answer(query))
@@ -351,13 +364,13 @@
     }
 
     @Override
-    public void onClosed(PeerLinks.Link link) {
+    public void onClosed(PeerLink link) {
         peerRequests.onClosed(link);
         homes.remove(link).ifPresent(this::edgeLost);
     }
 
     private void edgeLost(String edgeIp) {
         configurations.forget(edgeIp);
-        loads.edgeLost(edgeIp);
+        loads.removeEdge(edgeIp);
     }
 }
--- a/core/src/main/java/martenloom/core/admin/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -58,12 +58,13 @@
             case "chain" -> chainState(now);
             case "configuration" -> configuration();
             case "replicas" -> lines(registry.replicas().stream(), r -> replica(r, now));
-            case "evacuations" -> lines(chain.committed().evacuated.stream(), zone -> zone + '\n');
+            case "evacuations" ->
+                    lines(chain.committed().evacuations().zones().stream(), zone -> zone + '\n');
             case "homes" -> homes();
             case "leases" -> leases();
-            case "jobs" -> chain.committed().jobTable.text(chain.jobClockUs(now));
-            case "traffic" -> LinkTraffic.text();
-            case "log" -> RingLog.tail(LOG_LINES);
+            case "jobs" -> chain.committed().jobs().report(chain.jobClockUs(now));
+            case "traffic" -> LinkTraffic.report();
+            case "log" -> RingLog.recent(LOG_LINES);
             default -> USAGE;
         };
     }
@@ -74,7 +75,7 @@
 
     private String scaling() {
         return lines(
-                chain.committed().scales.entrySet().stream(),
+                chain.committed().scaling().targets().entrySet().stream(),
                 entry -> {
                     var scale = entry.getValue();
                     return String.format(
@@ -82,7 +83,7 @@
                             entry.getKey(),
                             scale.desired(),
                             scale.pinned() ? " unloaded by the operator" : "",
-                            scale.grant(),
+                            scale.fencingToken(),
                             scale.resting());
                 });
     }
@@ -90,74 +91,79 @@
     private static String member(EdgeRecord edge, long now) {
         return String.format(
                 "%s %s %s %s%s revision %d lease-age %d ms\n",
-                edge.ip,
-                edge.name,
-                edge.zone,
-                edge.ready ? "ready" : "not-ready",
-                edge.leaving ? " leaving" : "",
-                edge.revision,
-                (now - edge.heardUs) / 1000);
+                edge.ip(),
+                edge.name(),
+                edge.zone(),
+                edge.ready() ? "ready" : "not-ready",
+                edge.draining() ? " leaving" : "",
+                edge.configurationRevision(),
+                (now - edge.lastRenewalUs()) / 1000);
     }
 
     private String chainState(long now) {
         return String.format(
                 "mode %s view %d.%s head %s chain %s stale %d ms\nroster %s\n",
-                chain.mode(),
-                chain.view().n(),
-                chain.view().who(),
+                chain.role(),
+                chain.view().number(),
+                chain.view().member(),
                 chain.head(),
                 chain.chain(),
-                chain.staleUs(now) / 1000,
-                chain.committed().roster);
+                chain.stalenessUs(now) / 1000,
+                chain.committed().roster().members());
     }
 
     private String configuration() {
         var state = chain.committed();
         return "revision "
-                + state.revision
+                + state.configuration().revision()
                 + " edition "
-                + state.edition
+                + state.edition()
                 + '\n'
-                + state.routingText;
+                + state.configuration().routingText();
     }
 
     private static String replica(ReplicaRecord replica, long now) {
         return String.format(
                 "%s %s %s %s %s seq %d beat-age %d ms warm-left %d ms\n",
-                replica.id,
-                replica.service,
-                replica.address,
-                replica.zone,
+                replica.id(),
+                replica.service(),
+                replica.address(),
+                replica.zone(),
                 condition(replica),
-                replica.seq,
-                (now - replica.heardUs) / 1000,
-                Math.max(0, replica.warmAtUs - now) / 1000);
+                replica.sequence(),
+                (now - replica.lastHeartbeatUs()) / 1000,
+                Math.max(0, replica.warmFromUs() - now) / 1000);
     }
 
     private static String condition(ReplicaRecord replica) {
-        if (replica.gone) {
+        if (replica.ended()) {
             return "gone";
         }
-        if (replica.silent) {
+        if (replica.unreachable()) {
             return "silent";
         }
-        return replica.draining ? "draining" : "ready";
+        return replica.draining() ? "draining" : "ready";
     }
 
     private String homes() {
         var text = new StringBuilder();
         homes.forEach(
                 (edgeIp, link) ->
-                        text.append(edgeIp).append(" home ").append(settings.ip).append('\n'));
+                        text.append(edgeIp)
+                                .append(" home ")
+                                .append(settings.ipAddress())
+                                .append('\n'));
         return text.toString();
     }
 
     private String leases() {
         return lines(
-                chain.committed().duties.entrySet().stream(),
+                chain.committed().leases().byRole().entrySet().stream(),
                 entry ->
                         String.format(
                                 "%s grant %d holder %s\n",
-                                entry.getKey(), entry.getValue().grant, entry.getValue().holder));
+                                entry.getKey(),
+                                entry.getValue().fencingToken(),
+                                entry.getValue().holder()));
     }
 }
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -10,8 +10,12 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.MemberRole;
 import martenloom.core.forwarding.CommandSubmitter;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The way of a core daemon out of the chain at SIGTERM: callers and edges are sent elsewhere, the
@@ -67,14 +71,14 @@
      */
     public boolean run() {
         var done = new CountDownLatch(1);
-        var graceUs = (long) (settings.bounds.graceS * 1_000_000);
+        var graceUs = (long) (settings.bounds().gracePeriodS() * 1_000_000);
         urgentUs = Clocks.nowUs() + (long) (graceUs * WAITS_SHARE);
         endUs = Clocks.nowUs() + graceUs - END_US;
         loop.execute(
                 () -> {
-                    RingLog.note("leaving");
+                    RingLog.debug("leaving");
                     begun = true;
-                    chain.onLeave(Clocks.nowUs());
+                    chain.startLeaving(Clocks.nowUs());
                     step(done);
                 });
         try {
@@ -89,14 +93,14 @@
         var now = Clocks.nowUs();
         if (mayEnd(now) || now >= endUs) {
             var how = releasedUs > 0 ? "in order" : "at the end of the grace period";
-            RingLog.note("left " + how);
+            RingLog.debug("left " + how);
             done.countDown();
             return;
         }
         if (releasedUs == 0) {
-            var urgency = now < urgentUs ? ClusterState.LEAVE_SOON : ClusterState.LEAVE_NOW;
-            var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, settings.ip, "");
-            orders.submit(order, (status, text) -> taken |= status == 200);
+            var urgency = now < urgentUs ? Urgency.CAN_WAIT : Urgency.IMMEDIATE;
+            var order = StampedCommand.of(new MarkDeparting(settings.ipAddress(), urgency));
+            orders.submit(order, (code, text) -> taken |= code == ResultCode.OK);
         }
         Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
     }
@@ -105,8 +109,8 @@
      * Not before the chain can do without this member; then when no caller waits, or soon after.
      */
     private boolean mayEnd(long now) {
-        var learning = chain.mode() == ChainMember.Mode.LEARNING;
-        if (releasedUs == 0 && (taken || learning) && chain.released(now)) {
+        var learning = chain.role() == MemberRole.LEARNER;
+        if (releasedUs == 0 && (taken || learning) && chain.mayTerminate(now)) {
             releasedUs = now;
         }
         return releasedUs > 0 && (!owesAnswers.getAsBoolean() || now - releasedUs > ANSWERS_US);
--- a/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
@@ -16,9 +16,11 @@
 import java.util.zip.CRC32;
 import martenloom.common.clock.Clocks;
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.registry.Registry;
 import martenloom.core.state.ClusterState;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.core.storage.VersionedStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -51,15 +53,15 @@
     @TempDir private Path folder;
 
     /** What the member keeps as its versions 1, 2 and 3. */
-    private static List<ChainMember.MemberState> versions() {
+    private static List<PersistentMemberState> versions() {
         var founded = ClusterState.founded(List.of("10.0.0.1", "10.1.0.1"));
-        var none = ChainMember.Ballot.ZERO;
-        var older = new ChainMember.Ballot(11, "10.0.0.1");
-        var newer = new ChainMember.Ballot(12, "10.1.0.1");
+        var none = Ballot.ZERO;
+        var older = new Ballot(11, "10.0.0.1");
+        var newer = new Ballot(12, "10.1.0.1");
         return List.of(
-                new ChainMember.MemberState(none, none, founded),
-                new ChainMember.MemberState(older, none, founded),
-                new ChainMember.MemberState(newer, older, FilledState.build()));
+                new PersistentMemberState(none, none, founded),
+                new PersistentMemberState(older, none, founded),
+                new PersistentMemberState(newer, older, FilledState.build()));
     }
 
     /** The note of the most edges and homes ever known, and of replicas of every kind. */
@@ -68,14 +70,14 @@
         var registry = new Registry(BEAT_US);
         registry.take(replica("running", nowUs), true);
         var warming = replica("warming", nowUs);
-        warming.warmAtUs = nowUs + 9 * SECOND_US;
+        warming.setWarmFromUs(nowUs + 9 * SECOND_US);
         registry.take(warming, true);
         var leaving = replica("draining", nowUs);
-        leaving.draining = true;
-        leaving.leavesAtUs = nowUs + 30 * SECOND_US;
+        leaving.setDraining(true);
+        leaving.setDrainDeadlineUs(nowUs + 30 * SECOND_US);
         registry.take(leaving, true);
         var silent = replica("silent", nowUs - 4 * SECOND_US);
-        silent.silent = true;
+        silent.setUnreachable(true);
         registry.take(silent, true);
         registry.take(replica("ended", nowUs), true);
         registry.bury("ended", nowUs);
@@ -85,25 +87,25 @@
 
     private static ReplicaRecord replica(String id, long heardUs) {
         var replica = new ReplicaRecord();
-        replica.id = id;
-        replica.service = "s";
-        replica.address = "10.0.0.9:8080";
-        replica.zone = "north-a";
-        replica.capacity = 8;
-        replica.seq = 41;
-        replica.heardUs = heardUs;
+        replica.setId(id);
+        replica.setService("s");
+        replica.setAddress("10.0.0.9:8080");
+        replica.setZone("north-a");
+        replica.setCapacity(8);
+        replica.setSequence(41);
+        replica.setLastHeartbeatUs(heardUs);
         return replica;
     }
 
     /** Each file by its name as it is kept in the folder, with the fixed time. */
     private static Map<String, byte[]> writtenInto(Path folder) {
-        var real = new VersionedStore.RealFolder(folder.toString());
+        var real = new FileSystemFolder(folder.toString());
         var store = new VersionedStore(real);
         store.load();
         var files = new LinkedHashMap<String, byte[]>();
         for (var version : versions()) {
             var fromMs = System.currentTimeMillis();
-            store.keep(version.bytes());
+            store.write(version.encode());
             assertEquals(1, real.names().size(), "older versions are removed");
             var name = real.names().get(0);
             var file = real.read(name);
@@ -111,7 +113,7 @@
             assertTrue(timeMs >= fromMs && timeMs <= System.currentTimeMillis(), "time " + timeMs);
             files.put(name, withFixedTime(file));
         }
-        store.noteLater(NOTE, note());
+        store.writeCheckpointAsync(NOTE, note());
         store.flush(FLUSH_MS);
         assertEquals(List.of(THIRD, NOTE), real.names());
         files.put(NOTE, withFixedTime(real.read(NOTE)));
@@ -135,23 +137,23 @@
         for (var file : GoldenFile.read(fileName).entrySet()) {
             Files.write(folder.resolve(file.getKey()), file.getValue());
         }
-        return new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
+        return new VersionedStore(new FileSystemFolder(folder.toString()));
     }
 
     private List<String> names() {
-        return new VersionedStore.RealFolder(folder.toString()).names();
+        return new FileSystemFolder(folder.toString()).names();
     }
 
     private static byte[] content(byte[] file) {
         return Arrays.copyOfRange(file, HEAD_BYTES, file.length);
     }
 
-    private static void assertState(ChainMember.MemberState expected, Optional<byte[]> found) {
-        var member = ChainMember.MemberState.of(found.orElseThrow());
-        assertEquals(expected.promised, member.promised);
-        assertEquals(expected.accepted, member.accepted);
-        GoldenFile.assertSameBytes("state", expected.state.bytes(), member.state.bytes());
-        GoldenFile.assertSameBytes("member", expected.bytes(), found.get());
+    private static void assertState(PersistentMemberState expected, Optional<byte[]> found) {
+        var member = PersistentMemberState.decode(found.orElseThrow());
+        assertEquals(expected.promised(), member.promised());
+        assertEquals(expected.accepted(), member.accepted());
+        GoldenFile.assertSameBytes("state", expected.state().bytes(), member.state().bytes());
+        GoldenFile.assertSameBytes("member", expected.encode(), found.get());
     }
 
     @Test
@@ -166,10 +168,10 @@
         for (var i = 0; i < names.size(); i++) {
             var alone = Files.createDirectory(folder.resolve("alone-" + i));
             Files.write(alone.resolve(names.get(i)), recorded.get(names.get(i)));
-            var store = new VersionedStore(new VersionedStore.RealFolder(alone.toString()));
+            var store = new VersionedStore(new FileSystemFolder(alone.toString()));
             assertState(versions().get(i), store.load());
-            assertFalse(store.damaged());
-            assertEquals(TEN_MINUTES_US, store.awayUs());
+            assertFalse(store.isDamaged());
+            assertEquals(TEN_MINUTES_US, store.downtimeUs());
         }
     }
 
@@ -178,11 +180,11 @@
     void theNewestOfSeveralVersionsIsFoundAndTheOthersAreRemoved() throws IOException {
         var store = recorded(KILLED);
         assertState(versions().get(2), store.load());
-        assertFalse(store.damaged());
+        assertFalse(store.isDamaged());
         assertEquals(List.of(THIRD, FOURTH + ".aside", NOTE), names());
         var recordedNote = content(GoldenFile.read(WRITTEN).get(NOTE));
-        GoldenFile.assertSameBytes(NOTE, recordedNote, store.note(NOTE).orElseThrow());
-        store.keep(versions().get(0).bytes());
+        GoldenFile.assertSameBytes(NOTE, recordedNote, store.readCheckpoint(NOTE).orElseThrow());
+        store.write(versions().get(0).encode());
         assertEquals(List.of(FOURTH, NOTE), names());
     }
 
@@ -190,25 +192,25 @@
     void aTornNewestVersionIsALostDiskWhoseNoteIsStillRead() throws IOException {
         var store = recorded(TORN);
         assertTrue(store.load().isEmpty());
-        assertTrue(store.damaged());
-        assertEquals(0, store.awayUs());
+        assertTrue(store.isDamaged());
+        assertEquals(0, store.downtimeUs());
         assertEquals(List.of(SECOND, THIRD, NOTE), names(), "nothing is removed");
         var recordedNote = content(GoldenFile.read(WRITTEN).get(NOTE));
-        GoldenFile.assertSameBytes(NOTE, recordedNote, store.note(NOTE).orElseThrow());
-        store.keep(versions().get(2).bytes());
+        GoldenFile.assertSameBytes(NOTE, recordedNote, store.readCheckpoint(NOTE).orElseThrow());
+        store.write(versions().get(2).encode());
         assertEquals(List.of(FOURTH, NOTE), names());
-        var healed = new VersionedStore(new VersionedStore.RealFolder(folder.toString()));
+        var healed = new VersionedStore(new FileSystemFolder(folder.toString()));
         assertState(versions().get(2), healed.load());
-        assertFalse(healed.damaged());
+        assertFalse(healed.isDamaged());
     }
 
     @Test
     void aMissingVersionIsALostDiskAndATornNoteIsNone() throws IOException {
         var store = recorded(MISSING);
         assertTrue(store.load().isEmpty());
-        assertTrue(store.damaged());
-        assertTrue(store.note(NOTE).isEmpty());
-        store.keep(versions().get(2).bytes());
+        assertTrue(store.isDamaged());
+        assertTrue(store.readCheckpoint(NOTE).isEmpty());
+        store.write(versions().get(2).encode());
         assertEquals(List.of(FOURTH, NOTE), names());
     }
 }
--- a/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -12,8 +12,13 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import martenloom.common.codec.RecordReader;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
 /** Leases at the head of a chain of one member, whose disk finishes a write when it is told to. */
@@ -22,8 +27,8 @@
     private static final long STEP_US = 50_000;
 
     private final List<String> granted = new ArrayList<>();
-    private final Map<Long, BiConsumer<Integer, String>> asked = new HashMap<>();
-    private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
+    private final Map<Long, BiConsumer<ResultCode, String>> asked = new HashMap<>();
+    private final Deque<ChainEffect.PersistState> stores = new ArrayDeque<>();
     private final ChainMember chain;
     private final RoleLeaseService duties;
     private boolean stalled;
@@ -32,17 +37,15 @@
 
     RoleLeaseServiceTest() {
         var founded =
-                new ChainMember.MemberState(
-                        ChainMember.Ballot.ZERO,
-                        ChainMember.Ballot.ZERO,
-                        ClusterState.founded(List.of("a")));
+                new PersistentMemberState(
+                        Ballot.ZERO, Ballot.ZERO, ClusterState.founded(List.of("a")));
         chain = new ChainMember("a", 1, Optional.of(founded), Comparator.naturalOrder(), nowUs);
         duties = new RoleLeaseService(chain, this::ask, () -> nowUs);
     }
 
-    private void ask(ClusterState.Change change, BiConsumer<Integer, String> reply) {
+    private void ask(StampedCommand change, BiConsumer<ResultCode, String> reply) {
         asked.put(++requests, reply);
-        chain.onAsk(nowUs, requests, change);
+        chain.submit(nowUs, requests, change);
     }
 
     private void run(long us) {
@@ -55,25 +58,25 @@
     }
 
     private void carryOut() {
-        for (var l = chain.drain(); !l.isEmpty(); l = chain.drain()) {
+        for (var l = chain.drainEffects(); !l.isEmpty(); l = chain.drainEffects()) {
             l.forEach(this::carryOut);
             while (!stalled && !stores.isEmpty()) {
-                chain.onStored(nowUs, stores.poll().token());
+                chain.onPersisted(nowUs, stores.poll().token());
             }
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Store store) {
+    private void carryOut(ChainEffect command) {
+        if (command instanceof ChainEffect.PersistState store) {
             stores.add(store);
-        } else if (command instanceof ChainMember.Answer answer) {
+        } else if (command instanceof ChainEffect.CompleteRequest answer) {
             Optional.ofNullable(asked.remove(answer.request()))
-                    .ifPresent(r -> r.accept(answer.status(), answer.text()));
+                    .ifPresent(r -> r.accept(answer.code(), answer.text()));
         }
     }
 
     private void want(String holder) {
-        duties.want(KEY, holder, nowUs, this::onGrant);
+        duties.request(KEY, holder, nowUs, this::onGrant);
     }
 
     private void onGrant(byte[] record) {
@@ -98,7 +101,7 @@
         run(400_000);
         assertEquals(List.of("x 1"), granted, "nobody is renewed meanwhile");
         stalled = false;
-        chain.onStored(nowUs, stores.poll().token());
+        chain.onPersisted(nowUs, stores.poll().token());
         run(200_000);
         assertEquals(List.of("x 1", "y 2"), granted);
     }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -1,9 +1,7 @@
 package martenloom.edge.dispatch;
 
 import io.activej.eventloop.Eventloop;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
@@ -11,445 +9,283 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
-import martenloom.edge.budget.RetryBudget;
-import martenloom.edge.http.Head;
+import martenloom.edge.http.MessageHead;
 import martenloom.edge.overload.OverloadReceiver;
 import martenloom.edge.replica.PrefixOwners;
-import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.RoutingView;
+import martenloom.routing.route.ClientLimits;
 import martenloom.routing.route.RouteTable;
 
 /**
- * The owner of all requests at this edge. Clients and attempts tell it events; it answers with
- * commands: an attempt at a replica, a wait in the queue, an answer, a cut. Admission, further
- * attempts and their budget are decided here; which replica is the chooser's.
+ * The owner of all requests at this edge: wires the events of clients, attempts, the core and the
+ * clock to the classes that decide. {@link RequestAdmission} admits a request, {@link
+ * RequestScheduler} sends or queues it, {@link ReplicaSelector} picks its replica, {@link
+ * RetryPolicy} decides what follows an attempt, and {@link RequestCompletion} ends it. Runs on the
+ * reactor thread.
  */
-public final class RequestDispatcher
-        implements ClientConnection.RequestDispatcher,
-                RequestQueues.Owner,
-                AttemptResults.Owner,
-                RoutingView {
-    private final Eventloop loop;
+public final class RequestDispatcher implements ClientConnection.RequestHandler, RoutingView {
     private final Settings settings;
-    public final ReplicaTable replicaTable;
-    public final RetryBudget budget;
-    public final PrefixOwners places = new PrefixOwners();
-    public final OverloadReceiver reports = new OverloadReceiver();
-    private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    private final RequestQueues queues = new RequestQueues(this);
-    private final SilenceWatch silence = new SilenceWatch(this::table);
-    private final ReplicaSelector chooser;
-    private boolean leaving;
-    private final LateRequestPolicy late = new LateRequestPolicy();
-    private final long startUs = Clocks.nowUs();
-    private final SpreadCounter spread = new SpreadCounter();
-    public final Counters counters = new Counters();
+    private final ReplicaTable replicaTable;
+    private final PrefixOwners prefixOwners = new PrefixOwners();
+    private final OverloadReceiver overloadReports = new OverloadReceiver();
+    private final DispatchCounters counters = new DispatchCounters();
+    private final ShutdownAdmissionPolicy shutdownPolicy = new ShutdownAdmissionPolicy();
+    private final OverloadReduction overload = new OverloadReduction(overloadReports);
+    private final ClientConnections clients;
+    private final ClusterView cluster;
+    private final CandidateFilter filter;
+    private final StallDetector stallDetector;
     private final RequestCompletion completion;
-    private final AttemptResults results;
-
-    /** Counts for the shell; plain numbers since the start. */
-    public static final class Counters {
-        public long requests;
-        public long served;
-        public long refused;
-        public long failed;
-        public long repeats;
-        public long resumed;
-        public long timeouts;
-        public long moved;
-        public long jobs;
-    }
+    private final RequestAdmission admission;
+    private final RequestScheduler scheduler;
+    private boolean closesConnections;
 
+    /** A dispatcher without routes and replicas; both come from the core. */
     public RequestDispatcher(Eventloop loop, Settings settings, ReplicaTable replicaTable) {
-        this.loop = loop;
         this.settings = settings;
         this.replicaTable = replicaTable;
-        chooser = new ReplicaSelector(settings, replicaTable, places, reports);
-        completion = new RequestCompletion(loop, counters, reports, spread);
-        results = new AttemptResults(loop, replicaTable, completion, late, counters, this);
-        budget =
-                new RetryBudget(
-                        settings.bounds.retryRatio,
-                        settings.bounds.retryWindowS,
-                        settings.bounds.retrySlack);
+        clients = new ClientConnections(loop, settings.maxFileDescriptors());
+        cluster = new ClusterView(replicaTable);
+        filter = new CandidateFilter(settings, replicaTable, cluster);
+        stallDetector = new StallDetector(cluster);
+        var prefixCache = new PrefixCacheOwnership(replicaTable, prefixOwners);
+        var selector =
+                new ReplicaSelector(settings, replicaTable, cluster, filter, prefixCache, overload);
+        var starter = new AttemptStarter(loop, settings, cluster, selector, prefixCache, counters);
+        var roundRobin = new RoundRobinCounter();
+        completion = new RequestCompletion(loop, counters, overloadReports, roundRobin);
+        admission =
+                new RequestAdmission(
+                        cluster,
+                        shutdownPolicy,
+                        roundRobin,
+                        completion,
+                        starter,
+                        replicaTable.predictor());
+        scheduler =
+                new RequestScheduler(
+                        loop, replicaTable, filter, starter, completion, shutdownPolicy);
     }
 
-    // ---- what the core tells
+    // ---- what it shares
 
-    public void onTable(RouteTable table) {
-        chooser.onTable(table);
+    /** What this edge knows of the replicas. */
+    public ReplicaTable replicaTable() {
+        return replicaTable;
     }
 
-    public void onPlaced(Map<String, ReplicaPlacement> placed) {
-        chooser.onPlaced(placed);
+    /** Where large shared segments of prompts were last sent. */
+    public PrefixOwners prefixOwners() {
+        return prefixOwners;
     }
 
-    public void onEvacuated(Set<String> zones, long now) {
-        chooser.onEvacuated(zones, now);
+    /** The overload reports of other regions. */
+    public OverloadReceiver overloadReports() {
+        return overloadReports;
     }
 
-    public void onEdges(int edges) {
-        chooser.onEdges(edges);
+    public DispatchCounters counters() {
+        return counters;
     }
 
-    public int edges() {
-        return chooser.edges();
+    /** Requests that went to another region. */
+    public long spilled() {
+        return overload.spilled();
     }
 
-    @Override
-    public Set<String> evacuated() {
-        return chooser.evacuated();
+    /** Requests that are open, deferred jobs among them. */
+    public int requestsInFlight() {
+        return completion.openRequests().size();
     }
 
-    public long spilled() {
-        return chooser.spilled();
+    public int clientConnections() {
+        return clients.size();
     }
 
     /**
-     * From now on answers carry "Connection: close", and idle connections are closed after a
-     * moment.
+     * Adds the interactive requests in flight at models to a summary, by region and model: each
+     * where it runs, else here.
      */
-    public void closeConnections() {
-        leaving = true;
+    public void addRequestsInFlight(LoadSummary summary) {
+        for (var request : completion.openRequests()) {
+            var service = table().services().get(request.service());
+            if (!request.isJob() && service != null && service.inferenceEngine()) {
+                var region =
+                        request.attempt()
+                                .map(attempt -> attempt.replica().region())
+                                .orElse(settings.region());
+                summary.addInFlight(ClusterView.regionAndModel(region, service.model()));
+            }
+        }
     }
 
-    /**
-     * From now on only requests are begun that should end before this moment, by the longest time
-     * that their route took lately, and streams that may last longer than that are withheld until
-     * they are whole; the others are refused.
-     */
-    public void takeOnlyUntil(long endUs) {
-        late.takeOnlyUntil(endUs);
-    }
+    // ---- configuration and replicas
 
-    /**
-     * Whether a client still waits for anything: for an answer, or for bytes of one that are on
-     * their way out.
-     */
-    public boolean holdsAnything() {
-        return completion.openRequests().stream().anyMatch(request -> request.deferred == 0)
-                || clients.stream().anyMatch(ClientConnection::unsent);
+    @Override
+    public RouteTable table() {
+        return cluster.table();
     }
 
-    /** Ends all that is in hand: what is not yet answered gets an answer, and streams are cut. */
-    public void endAll() {
-        completion.endAll();
+    /** The most edges that there ever were. */
+    public int edgeCount() {
+        return cluster.edgeCount();
     }
 
-    public int inHand() {
-        return completion.openRequests().size();
+    @Override
+    public Set<String> evacuatedZones() {
+        return cluster.evacuatedZones();
     }
 
-    public int connections() {
-        return clients.size();
+    public void onTable(RouteTable table) {
+        cluster.setTable(table);
     }
 
-    public void closeIdle() {
-        for (var client : List.copyOf(clients)) {
-            if (client.idle()) {
-                client.close();
-            }
-        }
+    /** Takes the placement of replicas, by region and model. */
+    public void onPlacements(Map<String, ReplicaPlacement> placements) {
+        cluster.setPlacements(placements);
     }
 
-    @Override
-    public RouteTable table() {
-        return chooser.table();
+    public void onEvacuatedZones(Set<String> zones, long nowUs) {
+        cluster.setEvacuatedZones(zones, nowUs);
     }
 
-    @Override
-    public boolean leaving() {
-        return leaving;
+    public void onEdgeCount(int mostEver) {
+        cluster.setEdgeCount(mostEver);
     }
 
-    /**
-     * Our requests in flight at models, by region and model: from acceptance to the end, each where
-     * it runs, else here.
-     */
-    public void inFlight(LoadSummary sums) {
-        for (var request : completion.openRequests()) {
-            var service = table().services.get(request.service);
-            if (request.deferred == 0 && service != null && service.engine) {
-                sums.fly(
-                        request.attempt
-                                        .map(attempt -> attempt.slot.region())
-                                        .orElse(settings.region)
-                                + "/"
-                                + service.model);
-            }
-        }
+    /** Takes a record of a replica; one that is gone is dropped. */
+    public void onReplica(ReplicaRecord replica) {
+        replicaTable.register(replica);
+        replicaTable.find(replica.id()).ifPresent(cluster::markUnloaded);
     }
 
-    // ---- events from clients
+    // ---- requests of clients
+
+    @Override
+    public ClientLimits clientLimits() {
+        return table().limits();
+    }
 
     @Override
     public void onOpened(ClientConnection client) {
         clients.add(client);
-        if (clients.size() > (settings.maxFds - 200) / 2) {
-            loop.post(client::close);
-        }
     }
 
     @Override
-    public void onGone(ClientConnection client) {
+    public void onClosed(ClientConnection client) {
         clients.remove(client);
-        client.request.ifPresent(
-                request -> {
-                    client.request = Optional.empty();
-                    completion.drop(request);
-                });
+        client.request()
+                .ifPresent(
+                        request -> {
+                            client.detachRequest();
+                            completion.cancel(request);
+                        });
     }
 
     @Override
-    public void onRequest(ClientConnection client, Head head, byte[] body) {
+    public void onRequest(ClientConnection client, MessageHead head, byte[] body) {
         var now = Clocks.nowUs();
-        counters.requests++;
-        if (table().revision == 0) {
-            refuseWithoutTable(client, now);
-            return;
-        }
-        var route = findRoute(head);
-        if (route.isEmpty()) {
-            client.whole(ClientConnection.plain(404, ""), new byte[0]);
-            return;
-        }
-        var request =
-                new Request(
-                        head,
-                        body,
-                        route.get(),
-                        route.get().service(spread.next(61)),
-                        late.sink(client, route.get(), now),
-                        client.beganUs(),
-                        now);
-        client.request = Optional.of(request);
-        budget.onRequest(request.service, now);
-        replicaTable.predictor().learnPromptSize(request.route, request);
-        if (request.deadlineUs <= now + 1000 || late.tooLate(request, now)) {
-            completion.refuse(request, 0.1);
-            return;
+        counters.countRequest();
+        var admitted = admission.admit(client, head, body, now);
+        if (admitted.isPresent()) {
+            scheduler.schedule(admitted.get(), now);
         }
-        completion.open(request, now);
-        if (!dispatch(request, now)) {
-            enqueue(request, now);
-        }
-    }
-
-    /** Until the first configuration has come, clients are told to come again soon. */
-    private void refuseWithoutTable(ClientConnection client, long now) {
-        var waitS = Math.max(0.4, 2 - (now - startUs) / 1e6);
-        var wait = String.format(Locale.ROOT, "%.2f", waitS);
-        client.whole(ClientConnection.plain(503, wait), new byte[0]);
-    }
-
-    /** The route of a request by its host without the port, else by its host as it stands. */
-    private Optional<RouteTable.Route> findRoute(Head head) {
-        var host = head.get("Host").toLowerCase(Locale.ROOT);
-        var port = host.indexOf(':');
-        var path = path(head);
-        var route = table().find(port < 0 ? host : host.substring(0, port), path);
-        return route.isEmpty() && port >= 0 ? table().find(host, path) : route;
-    }
-
-    private static String path(Head head) {
-        var query = head.two.indexOf('?');
-        return query < 0 ? head.two : head.two.substring(0, query);
     }
 
     // ---- deferred jobs
 
     /**
-     * Whether some replica has room to spare for a job of this urgency, past what interactive
+     * Whether some replica has capacity to spare for a job of this urgency, past what interactive
      * requests need.
      */
-    public boolean jobRoom(String route, int urgency) {
-        return !leaving && chooser.jobRoom(route, urgency);
+    public boolean hasJobCapacity(String route, int urgency) {
+        return !closesConnections && filter.hasJobCapacity(route, urgency, Clocks.nowUs());
     }
 
     /**
-     * Starts a job as an request of its own kind: it never waits in an queue, where it could stand
-     * before others.
+     * Starts a job as a request of its own kind, which is never queued.
+     *
+     * @param lastEventId the event behind which the job is resumed; empty for none
+     * @return the request, or empty if there is no route or no replica for it now
      */
     public Optional<Request> startJob(
-            Head head, byte[] body, Request.Sink sink, int urgency, String lastEvent) {
+            MessageHead head, byte[] body, ResponseSink sink, int urgency, String lastEventId) {
         var now = Clocks.nowUs();
-        var route = table().find(head.get("Host").toLowerCase(Locale.ROOT), path(head));
-        if (route.isEmpty()) {
-            return Optional.empty();
+        var admitted = admission.admitJob(head, body, sink, now);
+        if (admitted.isEmpty()) {
+            return admitted;
         }
-        var request =
-                new Request(
-                        head,
-                        body,
-                        route.get(),
-                        route.get().service(spread.next(61)),
-                        sink,
-                        now,
-                        now);
-        request.deferred = urgency + 1;
-        request.lastEvent = lastEvent;
-        completion.open(request, now);
-        if (!dispatch(request, now)) {
-            completion.finish(request);
+        admitted.get().makeJob(urgency, lastEventId);
+        if (!scheduler.scheduleJob(admitted.get(), now)) {
             return Optional.empty();
         }
-        counters.jobs++;
-        return Optional.of(request);
+        counters.countJob();
+        return admitted;
     }
 
-    public void dropJob(Request request) {
-        completion.drop(request);
+    /** Ends a job that nobody waits for any longer. */
+    public void cancelJob(Request request) {
+        completion.cancel(request);
     }
 
-    // ---- queue
-
-    @Override
-    public void refuse(Request request, double waitS) {
-        completion.refuse(request, waitS);
-    }
+    // ---- time
 
-    @Override
-    public long holdUs(Request request) {
-        if (chooser.asleep(request)) {
-            return (request.deadlineUs - request.arrivedUs) / 2;
+    /** Every 20 ms: offers what is queued again, and finds unresponsive replicas. */
+    public void tick() {
+        var now = Clocks.nowUs();
+        scheduler.drainQueues(now);
+        for (var replica : List.copyOf(replicaTable.all())) {
+            stallDetector.check(replica, now);
         }
-        return Math.min(request.route.aimUs / 5, (request.deadlineUs - request.arrivedUs) / 3);
     }
 
-    @Override
-    public void enqueue(Request request, long now) {
-        if (request.deferred > 0) {
-            completion.giveUp(request);
-        } else if (request.sent > 0 && request.mayHaveRun && !request.route.repeatable()) {
-            completion.fail(request, RequestCompletion.MAY_HAVE_RUN);
-        } else if (!queues.add(request)) {
-            completion.refuse(request, 1);
+    /** Twice a second: closes connections that are idle for too long or of no use any more. */
+    public void sweep() {
+        var now = Clocks.nowUs();
+        clients.enforceTimeouts(now);
+        for (var replica : replicaTable.all()) {
+            replica.connections().closeUnusable(now);
         }
     }
 
+    // ---- graceful shutdown
+
     @Override
-    public boolean dispatch(Request request, long now) {
-        var chosen = chooser.choose(request, now);
-        if (chosen.isEmpty()) {
-            return false;
-        }
-        if (request.sent > 0 && !budget.trySpend(request.service, edges(), now)) {
-            return false;
-        }
-        var service = table().services.get(request.service);
-        var slot = chosen.get();
-        var kept = chooser.keeps(slot, request);
-        var attempt =
-                new Attempt(
-                        request, slot, slot.prefixCache().missingTokens(request, kept), results);
-        attempt.aheadTokens = slot.load().pendingPrefillTokens(now);
-        attempt.ownTokens = ownTokens(request, slot, kept);
-        request.attempt = Optional.of(attempt);
-        request.become(
-                request.state() == Request.State.STREAMING
-                        ? Request.State.STREAMING
-                        : Request.State.RUNNING);
-        slot.addAttempt(attempt, attempt.unread);
-        if (request.sent > 0) {
-            counters.repeats++;
-        }
-        if (service != null && service.engine) {
-            slot.prefixCache().add(request, service.cacheTokens);
-            if (request.sharedTokens() >= ReplicaSelector.LARGE) {
-                places.onSent(ReplicaSelector.sharedPart(request), slot.id());
-            }
-        }
-        attempt.start(loop, slot.region().equals(settings.region) ? 400 : 700);
-        return true;
+    public boolean closesConnections() {
+        return closesConnections;
     }
 
     /**
-     * Tokens that the replica certainly has to read: all when nobody sent the shared parts there,
-     * else the own part.
+     * From now on responses carry "Connection: close", and idle connections are closed after a
+     * moment.
      */
-    private static int ownTokens(Request request, ReplicaEndpoint slot, boolean kept) {
-        if (request.sizes.isEmpty()) {
-            return request.promptTokens;
-        }
-        var all =
-                !kept
-                        && request.sharedTokens() >= ReplicaSelector.LARGE
-                        && !slot.prefixCache().contains(ReplicaSelector.sharedPart(request));
-        return all
-                ? request.promptTokens
-                : slot.prefixCache().contains(request.parts.get(request.parts.size() - 1))
-                        ? 0
-                        : request.sizes.get(request.sizes.size() - 1);
+    public void beginClosingConnections() {
+        closesConnections = true;
     }
 
-    private boolean roomPosted;
-
-    @Override
-    public void onRoom() {
-        if (!roomPosted && queues.anyWaits()) {
-            roomPosted = true;
-            loop.post(
-                    () -> {
-                        roomPosted = false;
-                        queues.drain(Clocks.nowUs());
-                    });
-        }
-    }
-
-    // ---- time
-
-    /** Every 20 ms: the queues, and replicas that have gone quiet with attempts in hand. */
-    public void tick() {
-        var now = Clocks.nowUs();
-        queues.drain(now);
-        for (var slot : List.copyOf(replicaTable.all())) {
-            silence.check(slot, now);
-        }
+    /**
+     * From now on only requests are admitted that should end before this moment, and streams that
+     * may last longer are buffered; see {@link ShutdownAdmissionPolicy}.
+     */
+    public void admitOnlyUntil(long terminationUs) {
+        shutdownPolicy.setTermination(terminationUs);
     }
 
-    public void sweep() {
-        var now = Clocks.nowUs();
-        for (var client : List.copyOf(clients)) {
-            client.check(now);
-        }
-        for (var slot : replicaTable.all()) {
-            slot.connections().closeUnusable(now);
-        }
+    /** Whether a client still waits for a response, or for bytes of one that are on their way. */
+    public boolean hasPendingWork() {
+        return completion.openRequests().stream().anyMatch(request -> !request.isJob())
+                || clients.anyUnsentBytes();
     }
 
-    /**
-     * Takes a repeatable request off a replica that has gone quiet, when another replica and the
-     * budget allow.
-     */
-    @Override
-    public void move(Attempt attempt, long now) {
-        var request = attempt.request;
-        if (request.done()
-                || !request.route.repeatable()
-                || attempt.state() == Attempt.State.OPENING
-                || attempt.state() == Attempt.State.OVER
-                || request.sent + 1 >= request.route.tries) {
-            return;
-        }
-        if (now - attempt.sentUs < 150_000) {
-            return;
-        }
-        request.sent++;
-        request.tried.add(attempt.slot.id());
-        if (!dispatch(request, now)) {
-            request.sent--;
-            request.attempt = Optional.of(attempt);
-            return;
-        }
-        counters.moved++;
-        attempt.giveUp();
+    /** Ends all interactive requests: those without a response get one, streams are aborted. */
+    public void terminateAll() {
+        completion.terminateAll();
     }
 
-    /** A replica's life ended or its time runs out: what can go on elsewhere does. */
-    public void onReplica(ReplicaRecord replica) {
-        replicaTable.register(replica);
-        replicaTable.find(replica.id).ifPresent(chooser::markResting);
+    /** Closes the connections of clients that wait for nothing. */
+    public void closeIdleConnections() {
+        clients.closeIdle();
     }
 }
--- a/edge/src/main/java/martenloom/edge/overload/PressureEstimator.java
+++ b/edge/src/main/java/martenloom/edge/overload/PressureEstimator.java
@@ -2,7 +2,6 @@
 
 import martenloom.common.settings.Settings;
 import martenloom.edge.replica.LatencyPredictor;
-import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.RoutingView;
 
@@ -28,11 +27,12 @@
         var known = 0;
         var available = 0;
         for (var replica : replicaTable.all()) {
-            if (!serves(replica, model)) {
+            if (!replica.region().equals(settings.region())
+                    || !routing.servesModel(replica, model)) {
                 continue;
             }
             known++;
-            if (isAvailable(replica)) {
+            if (!replica.isUnloaded() && routing.isInService(replica)) {
                 sumUs +=
                         replica.reachability().isSuspected(now)
                                 ? targetUs
@@ -50,31 +50,18 @@
     private long targetUs(String model) {
         var targetUs = Long.MAX_VALUE;
         var table = routing.table();
-        for (var route : table.routes) {
+        for (var route : table.routes()) {
             var service =
-                    route.shares.isEmpty() ? null : table.services.get(route.shares.get(0).service);
+                    route.trafficSplit().isEmpty()
+                            ? null
+                            : table.services().get(route.trafficSplit().get(0).service());
             if (service != null
-                    && service.engine
-                    && service.model.equals(model)
-                    && route.aimUs > 0) {
-                targetUs = Math.min(targetUs, route.aimUs);
+                    && service.inferenceEngine()
+                    && service.model().equals(model)
+                    && route.latencyTargetUs() > 0) {
+                targetUs = Math.min(targetUs, route.latencyTargetUs());
             }
         }
         return targetUs;
     }
-
-    private boolean serves(ReplicaEndpoint replica, String model) {
-        var service = routing.table().services.get(replica.service());
-        return service != null
-                && service.engine
-                && service.model.equals(model)
-                && replica.region().equals(settings.region);
-    }
-
-    private boolean isAvailable(ReplicaEndpoint replica) {
-        return !replica.isDeregistered()
-                && replica.isAvailable()
-                && !replica.isUnloaded()
-                && !routing.evacuated().contains(replica.zone());
-    }
 }
--- a/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
+++ b/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
@@ -3,7 +3,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * Predicts how long a replica would take to the first token of a request, by its load, its prefix
@@ -62,14 +63,14 @@
     }
 
     /** The usual size of a route's prompts, in tokens. */
-    public double usualPromptTokens(RouteTable.Route route) {
-        return usualPromptTokens.getOrDefault(route.name, 0.0);
+    public double usualPromptTokens(Route route) {
+        return usualPromptTokens.getOrDefault(route.name(), 0.0);
     }
 
     /** Takes the size of a prompt. */
-    public void learnPromptSize(RouteTable.Route route, Prompt prompt) {
-        var usual = usualPromptTokens.getOrDefault(route.name, (double) prompt.tokens());
-        usualPromptTokens.put(route.name, usual + (prompt.tokens() - usual) * PROMPT_SIZE_WEIGHT);
+    public void learnPromptSize(Route route, Prompt prompt) {
+        var usual = usualPromptTokens.getOrDefault(route.name(), (double) prompt.tokens());
+        usualPromptTokens.put(route.name(), usual + (prompt.tokens() - usual) * PROMPT_SIZE_WEIGHT);
     }
 
     /**
@@ -80,12 +81,12 @@
      */
     public double predictUs(
             ReplicaEndpoint replica,
-            RouteTable.Service service,
-            RouteTable.Route route,
+            ServiceSpec service,
+            Route route,
             Prompt prompt,
             boolean assumeShared,
             long now) {
-        return service.engine
+        return service.inferenceEngine()
                 ? predictEngineUs(replica, route, prompt, assumeShared, now)
                 : predictPlainUs(replica, now);
     }
@@ -118,17 +119,13 @@
     }
 
     private double predictEngineUs(
-            ReplicaEndpoint replica,
-            RouteTable.Route route,
-            Prompt prompt,
-            boolean assumeShared,
-            long now) {
+            ReplicaEndpoint replica, Route route, Prompt prompt, boolean assumeShared, long now) {
         var inFlight = replica.load().inFlight(now);
         var capacity = Math.max(1, replica.capacity());
         var latency = replica.latency();
         var pending = replica.load().pendingPrefillTokens(now);
         var ahead =
-                route.rank == 0
+                route.priority() == 0
                         ? Math.min(pending, PREFILL_CHUNK_TOKENS) + pending * URGENT_WAIT_SHARE
                         : pending;
         var own =
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
@@ -5,14 +5,15 @@
 import java.util.List;
 import java.util.Set;
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.IpPort;
+import martenloom.edge.transport.ReplicaConnection;
 
 /**
  * What this edge knows of one incarnation of a replica: its registration, and in parts of their own
  * its load, speed, reachability, health, warm-up, prefix cache and connections. Runs on the reactor
  * thread.
  */
-public final class ReplicaEndpoint {
+public final class ReplicaEndpoint implements ReplicaConnection.Owner {
     private ReplicaRecord registration;
     private final String region;
     private final InetSocketAddress address;
@@ -37,7 +38,7 @@
         this.region = region;
         this.tieBreakCostUs = tieBreakCostUs;
         this.latency = latency;
-        address = Settings.address("Address", registration.address);
+        address = IpPort.parse("Address", registration.address());
         reachability = new Reachability(now);
     }
 
@@ -48,28 +49,28 @@
 
     /** Takes a newer record; a replica that was deregistered stays so. */
     void register(ReplicaRecord newer) {
-        var wasDeregistered = registration.gone;
+        var wasDeregistered = registration.ended();
         registration = newer;
-        registration.gone |= wasDeregistered;
+        registration.setEnded(registration.ended() | wasDeregistered);
     }
 
     void deregister() {
-        registration.gone = true;
+        registration.setEnded(true);
     }
 
     /** The id of this incarnation. */
     public String id() {
-        return registration.id;
+        return registration.id();
     }
 
     /** The service that it serves. */
     public String service() {
-        return registration.service;
+        return registration.service();
     }
 
     /** Its zone. */
     public String zone() {
-        return registration.zone;
+        return registration.zone();
     }
 
     /** The region of its zone. */
@@ -84,32 +85,32 @@
 
     /** How many requests it serves at a time. */
     public int capacity() {
-        return registration.capacity;
+        return registration.capacity();
     }
 
     /** Whether it takes no new requests and finishes what it has. */
     public boolean isDraining() {
-        return registration.draining;
+        return registration.draining();
     }
 
     /** Whether it was deregistered. */
     public boolean isDeregistered() {
-        return registration.gone;
+        return registration.ended();
     }
 
     /** Whether the registry no longer gets its heartbeats. */
     public boolean isUnresponsive() {
-        return registration.silent;
+        return registration.unreachable();
     }
 
     /** Whether it is neither draining nor unresponsive by the registry. */
     public boolean isAvailable() {
-        return !registration.draining && !registration.silent;
+        return !registration.draining() && !registration.unreachable();
     }
 
     /** Whether it has warmed up. */
     public boolean isWarm(long now) {
-        return warmup.isWarm(registration.warmAtUs, now);
+        return warmup.isWarm(registration.warmFromUs(), now);
     }
 
     /** Whether the scaler has unloaded it: it gets no new prompts and finishes what it has. */
@@ -225,28 +226,28 @@
         reachability.onSent(now);
     }
 
-    /** Bytes of the replica came. */
+    @Override
     public void onBytesReceived(long nowUs) {
         reachability.onHeard(nowUs);
     }
 
-    /** Whether further requests may go to the replica, so that idle connections are of use. */
+    @Override
     public boolean keepsIdleConnections() {
-        return !registration.gone && !registration.draining;
+        return !registration.ended() && !registration.draining();
     }
 
-    /** A connection has become idle and may carry another request. */
-    public void onIdle(PooledConnection connection) {
+    @Override
+    public void onIdle(ReplicaConnection connection) {
         connections.addIdle(connection);
     }
 
-    /** A connection was reset when it was used again after having been idle for so long. */
+    @Override
     public void onReuseFailed(long idleUs) {
         connections.onIdleReset(idleUs);
     }
 
-    /** A connection was closed. */
-    public void onClosed(PooledConnection connection) {
+    @Override
+    public void onClosed(ReplicaConnection connection) {
         connections.onClosed();
         connections.removeIdle(connection);
     }
--- a/simulation/src/main/java/martenloom/simulation/Invariants.java
+++ b/simulation/src/main/java/martenloom/simulation/Invariants.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.Ballot;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -18,7 +18,7 @@
 
     private final TreeMap<Long, ClusterState> committed = new TreeMap<>();
     private final Map<Long, byte[]> bytes = new HashMap<>();
-    private final Map<ChainMember.Ballot, Acknowledger> acknowledgers = new HashMap<>();
+    private final Map<Ballot, Acknowledger> acknowledgers = new HashMap<>();
     private final ConfigurationHistory configurations = new ConfigurationHistory();
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
@@ -41,25 +41,25 @@
     }
 
     void committed(String address, ClusterState state) {
-        if (state.edition == 0) {
+        if (state.edition() == 0) {
             return;
         }
         var mine = state.bytes();
-        var known = bytes.putIfAbsent(state.edition, mine);
+        var known = bytes.putIfAbsent(state.edition(), mine);
         if (known == null) {
-            committed.put(state.edition, state);
+            committed.put(state.edition(), state);
             onNewEdition(state);
         } else if (!Arrays.equals(known, mine)) {
             throw new Violation(
                     Invariant.ONE_STATE_PER_EDITION,
-                    address + " commits another state under edition " + state.edition);
+                    address + " commits another state under edition " + state.edition());
         }
     }
 
     private void onNewEdition(ClusterState state) {
-        var before = committed.get(state.edition - 1);
+        var before = committed.get(state.edition() - 1);
         if (before != null) {
-            checkRosters(before.roster, state.roster);
+            checkRosters(before.roster().members(), state.roster().members());
             configurations.onNext(before, state);
             leases.onNext(before, state);
         }
@@ -80,7 +80,7 @@
         return roster.size() / 2 + 1;
     }
 
-    void acknowledged(ChainMember.Ballot view, String address, long life) {
+    void acknowledged(Ballot view, String address, long life) {
         var mine = new Acknowledger(address, life);
         var known = acknowledgers.putIfAbsent(view, mine);
         if (known != null && !known.equals(mine)) {
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -36,15 +36,14 @@
      */
     void want(String key, String holder, long stampUs, Grantee grantee) {
         grantees.put(holder, grantee);
-        var held = Optional.ofNullable(process.chain().committed().duties.get(key));
-        if (held.isEmpty() || !held.get().holder.equals(holder)) {
+        if (!process.chain().committed().leases().isHeldBy(key, holder)) {
             if (process.nowUs() - passedOnUs.getOrDefault(key, 0L) < OTHERS_EVERY_US) {
                 return;
             }
             passedOnUs.put(key, process.nowUs());
         }
-        if (process.chain().heading()) {
-            duties.want(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
+        if (process.chain().isHead()) {
+            duties.request(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
             return;
         }
         var record = new RecordWriter(RecordType.LEASE_REQUEST).text(key).text(holder).i64(stampUs);
@@ -52,7 +51,7 @@
     }
 
     void onWant(SimulatedNetwork.Connection by, RecordReader in) {
-        duties.want(in.text(), in.text(), in.i64(), by::answer);
+        duties.request(in.text(), in.text(), in.i64(), by::answer);
     }
 
     /** A grant counts only when it comes from the head and no newer one is known. */
@@ -68,7 +67,7 @@
         var key = in.text();
         var grant = in.i64();
         var stampUs = in.i64();
-        if (!process.chain().committed().overtaken(key, grant)) {
+        if (!process.chain().committed().leases().isSuperseded(key, grant)) {
             Optional.ofNullable(grantees.get(holder)).ifPresent(g -> g.granted(grant, stampUs));
         }
     }
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
@@ -7,8 +7,10 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
-import martenloom.core.chain.ChainMember;
-import martenloom.core.state.ClusterState;
+import martenloom.common.link.RequestId;
+import martenloom.core.chain.ChainEffect;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.StampedCommand;
 
 /**
  * The way of an order from the member that a caller reached to the head of the chain, and of the
@@ -27,54 +29,54 @@
         remote = new PendingRequests<>(life);
     }
 
-    void forward(ClusterState.Change change, Reply reply) {
+    void forward(StampedCommand change, Reply reply) {
         var chain = process.chain();
-        if (chain.heading()) {
+        if (chain.isHead()) {
             askHere(change, reply);
             return;
         }
         var head = process.connection(chain.head());
-        if (head.isEmpty() || !chain.fresh(process.nowUs())) {
+        if (head.isEmpty() || !chain.isFresh(process.nowUs())) {
             reply.accept(Reply.UNAVAILABLE, "no head is known");
             return;
         }
-        var id = remote.open(head.get(), reply::accept);
+        var id = remote.register(head.get(), reply::accept);
         var record = new RecordWriter(RecordType.ORDER_REQUEST);
         id.write(record);
-        change.write(record);
+        CommandCodec.write(record, change);
         head.get().send(record.bytes());
         process.after(PATIENCE_US, () -> remote.expire(id, "no answer from the head"));
     }
 
     /** Hands an order to the chain of this member. */
-    void askHere(ClusterState.Change change, Reply reply) {
+    void askHere(StampedCommand change, Reply reply) {
         var id = ++lastLocal;
         local.put(id, reply);
-        process.chain().onAsk(process.nowUs(), id, change);
+        process.chain().submit(process.nowUs(), id, change);
     }
 
-    void onChainAnswer(ChainMember.Answer answer) {
+    void onChainAnswer(ChainEffect.CompleteRequest answer) {
         Optional.ofNullable(local.remove(answer.request()))
-                .ifPresent(r -> r.accept(answer.status(), answer.text()));
+                .ifPresent(r -> r.accept(answer.code().number(), answer.text()));
     }
 
     void onClosed(SimulatedNetwork.Connection connection) {
-        remote.closed(connection, "the link closed before an answer");
+        remote.channelClosed(connection, "the link closed before an answer");
     }
 
     void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
-        askHere(ClusterState.Change.read(in), (status, text) -> answer(by, id, status, text));
+        var id = RequestId.read(in);
+        askHere(CommandCodec.read(in), (status, text) -> answer(by, id, status, text));
     }
 
     private static void answer(
-            SimulatedNetwork.Connection by, PendingRequests.RequestId id, int status, String text) {
+            SimulatedNetwork.Connection by, RequestId id, int status, String text) {
         var record = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(record);
         by.answer(record.i32(status).text(text).bytes());
     }
 
     void onAnswer(SimulatedNetwork.Connection by, RecordReader in) {
-        remote.answered(PendingRequests.RequestId.read(in), by, in.i32(), in.text());
+        remote.complete(RequestId.read(in), by, in.i32(), in.text());
     }
 }
