--- a/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 import martenloom.common.error.MartenloomException;
 import martenloom.common.error.UsageException;
+import martenloom.simulation.FaultKind;
 import martenloom.simulation.Simulation;
-import martenloom.simulation.TroubleKind;
 import org.apache.commons.cli.CommandLine;
 
 /**
@@ -66,21 +66,21 @@
                         });
     }
 
-    private static List<TroubleKind> kinds(CommandLine line) {
+    private static List<FaultKind> kinds(CommandLine line) {
         var words = Optional.ofNullable(line.getOptionValue("kinds"));
         if (words.isEmpty()) {
-            return List.of(TroubleKind.values());
+            return List.of(FaultKind.values());
         }
         return Arrays.stream(words.get().split(","))
-                .map(w -> TroubleKind.of(w.trim()).orElseThrow(() -> unknown(w)))
+                .map(w -> FaultKind.of(w.trim()).orElseThrow(() -> unknown(w)))
                 .distinct()
                 .toList();
     }
 
     private static MartenloomException unknown(String word) {
         var known =
-                Arrays.stream(TroubleKind.values())
-                        .map(TroubleKind::word)
+                Arrays.stream(FaultKind.values())
+                        .map(FaultKind::word)
                         .collect(Collectors.joining(", "));
         return usage("--kinds: '" + word + "' is none of " + known);
     }
--- a/simulation/src/main/java/martenloom/simulation/OrderForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/CommandForwarder.java
@@ -14,20 +14,20 @@
  * The way of an order from the member that a caller reached to the head of the chain, and of the
  * answer back, as the core daemon does it.
  */
-final class OrderForwarder {
+final class CommandForwarder {
     private static final long PATIENCE_US = 2_500_000;
 
-    private final Process process;
-    private final Map<Long, Reply> local = new HashMap<>();
+    private final SimulatedMember process;
+    private final Map<Long, ReplyCallback> local = new HashMap<>();
     private final PendingRequests<SimulatedNetwork.Connection> remote;
     private long lastLocal;
 
-    OrderForwarder(Process process, long life) {
+    CommandForwarder(SimulatedMember process, long life) {
         this.process = process;
         remote = new PendingRequests<>(life);
     }
 
-    void forward(ClusterState.Change change, Reply reply) {
+    void forward(ClusterState.Change change, ReplyCallback reply) {
         var chain = process.chain();
         if (chain.heading()) {
             askHere(change, reply);
@@ -35,7 +35,7 @@
         }
         var head = process.connection(chain.head());
         if (head.isEmpty() || !chain.fresh(process.nowUs())) {
-            reply.accept(Reply.UNAVAILABLE, "no head is known");
+            reply.accept(ReplyCallback.UNAVAILABLE, "no head is known");
             return;
         }
         var id = remote.open(head.get(), reply::accept);
@@ -47,7 +47,7 @@
     }
 
     /** Hands an order to the chain of this member. */
-    void askHere(ClusterState.Change change, Reply reply) {
+    void askHere(ClusterState.Change change, ReplyCallback reply) {
         var id = ++lastLocal;
         local.put(id, reply);
         process.chain().onAsk(process.nowUs(), id, change);
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
@@ -137,7 +137,7 @@
 
     private static void check(boolean holds, Invariant invariant, String seen) {
         if (!holds) {
-            throw new Violation(invariant, seen);
+            throw new InvariantViolation(invariant, seen);
         }
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
@@ -11,18 +11,18 @@
     private static final long LONGEST_THOUGHT_US = 400_000;
 
     private final String name;
-    private final Callers callers;
-    private final Agenda agenda;
-    private final Randomness random;
+    private final RetryingClient callers;
+    private final EventQueue agenda;
+    private final RandomStream random;
     private final ConfigurationHistory history;
     private int orders;
     private int stormLeft;
 
     ConfigurationOperator(
             String name,
-            Callers callers,
-            Agenda agenda,
-            Randomness random,
+            RetryingClient callers,
+            EventQueue agenda,
+            RandomStream random,
             ConfigurationHistory history) {
         this.name = name;
         this.callers = callers;
@@ -101,7 +101,7 @@
     }
 
     private void onAnswer(
-            ConfigurationHistory.Order order, long floor, Optional<Callers.Answer> answer) {
+            ConfigurationHistory.Order order, long floor, Optional<RetryingClient.Answer> answer) {
         if (answer.isEmpty()) {
             read();
         } else if (answer.get().status() == 200) {
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
+++ b/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
@@ -6,13 +6,16 @@
 final class ConfigurationReader {
     private static final long LONGEST_PAUSE_US = 250_000;
 
-    private final Callers callers;
-    private final Agenda agenda;
-    private final Randomness random;
+    private final RetryingClient callers;
+    private final EventQueue agenda;
+    private final RandomStream random;
     private final ConfigurationHistory history;
 
     ConfigurationReader(
-            Callers callers, Agenda agenda, Randomness random, ConfigurationHistory history) {
+            RetryingClient callers,
+            EventQueue agenda,
+            RandomStream random,
+            ConfigurationHistory history) {
         this.callers = callers;
         this.agenda = agenda;
         this.random = random;
--- a/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
@@ -46,7 +46,7 @@
         z.acknowledged = Optional.of(evacuated);
         z.editionAtAnswer = newest.edition;
         if (!z.shown) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.OWN_ANSWER,
                     "zone "
                             + zone
@@ -55,7 +55,7 @@
                             + ", which no edition shows");
         }
         if (z.settledBefore && newest.evacuated.contains(zone) != evacuated) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.NO_STALE_ORDER,
                     "zone "
                             + zone
@@ -85,7 +85,7 @@
         }
         var wanted = zone.acknowledged.get();
         if (state.evacuated.contains(name) != wanted) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.NO_STALE_ORDER,
                     "zone "
                             + name
--- a/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
@@ -7,16 +7,16 @@
     private static final long LONGEST_THOUGHT_US = 1_500_000;
 
     private final String zone;
-    private final Callers callers;
-    private final Agenda agenda;
-    private final Randomness random;
+    private final RetryingClient callers;
+    private final EventQueue agenda;
+    private final RandomStream random;
     private final EvacuationHistory history;
 
     EvacuationOperator(
             String zone,
-            Callers callers,
-            Agenda agenda,
-            Randomness random,
+            RetryingClient callers,
+            EventQueue agenda,
+            RandomStream random,
             EvacuationHistory history) {
         this.zone = zone;
         this.callers = callers;
@@ -40,7 +40,7 @@
                     } else if (answer.get().status() == 200) {
                         history.onAcknowledged(zone, evacuate);
                     } else {
-                        throw new Violation(
+                        throw new InvariantViolation(
                                 Invariant.OWN_ANSWER,
                                 "an evacuation is answered with " + answer.get());
                     }
--- a/simulation/src/main/java/martenloom/simulation/Agenda.java
+++ b/simulation/src/main/java/martenloom/simulation/EventQueue.java
@@ -7,7 +7,7 @@
  * Simulated time and the events due in it; events of the same moment run in the order in which they
  * were entered.
  */
-final class Agenda {
+final class EventQueue {
     private record Entry(long atUs, long order, Runnable action) {}
 
     private static final Comparator<Entry> BY_TIME =
--- a/simulation/src/main/java/martenloom/simulation/Troubles.java
+++ b/simulation/src/main/java/martenloom/simulation/FaultInjector.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 
 /** Brings the troubles of a schedule about, and ends them. */
-final class Troubles {
+final class FaultInjector {
     private static final long SHORTEST_DOWN_US = 100_000;
     private static final double LOSS = 0.2;
     private static final double DUPLICATES = 0.1;
@@ -27,12 +27,12 @@
 
     private record Cut(String from, String to) {}
 
-    private final World world;
+    private final SimulatedCluster world;
 
-    /** Troubles that are not over, each with what ends it. */
+    /** FaultInjector that are not over, each with what ends it. */
     private final Set<Object> active = new HashSet<>();
 
-    Troubles(World world) {
+    FaultInjector(SimulatedCluster world) {
         this.world = world;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Tells whether it was brought about: what goes beyond the losses to be borne is left out. */
-    boolean bringAbout(Trouble trouble) {
+    boolean bringAbout(ScheduledFault trouble) {
         var address = target(trouble);
         var lastsUs = trouble.lastsMs() * 1000;
         return switch (trouble.kind()) {
@@ -104,7 +104,7 @@
     }
 
     /** The machine that is hit: every third time the present head, if there is one. */
-    private String target(Trouble trouble) {
+    private String target(ScheduledFault trouble) {
         var slot = world.slots().get(trouble.slot());
         return trouble.choice() % HEAD_EVERY == 0 ? world.head().orElse(slot) : slot;
     }
@@ -127,7 +127,7 @@
         return during(Math.max(SHORTEST_DOWN_US, downUs), () -> {}, () -> start(address));
     }
 
-    private static void lose(Machine machine, Loss loss) {
+    private static void lose(SimulatedMachine machine, Loss loss) {
         switch (loss) {
             case NOTHING -> {}
             case UNSYNCED -> machine.disk().losePower();
@@ -162,7 +162,7 @@
     }
 
     /** The closing fault: disks are lost, or their newest files torn, as all others lose power. */
-    private boolean wipeAndPowerLoss(Trouble trouble, long downUs) {
+    private boolean wipeAndPowerLoss(ScheduledFault trouble, long downUs) {
         var lost = new HashSet<String>();
         for (var i = 0; i < world.tolerated(); i++) {
             var address = world.slots().get((trouble.slot() + i) % world.slots().size());
@@ -176,7 +176,7 @@
         return !lost.isEmpty();
     }
 
-    private boolean secondLoss(Trouble trouble, long us) {
+    private boolean secondLoss(ScheduledFault trouble, long us) {
         var order = new ArrayList<>(world.slots());
         Collections.rotate(order, trouble.slot());
         var minority = (order.size() - 1) / 2;
@@ -234,7 +234,7 @@
     }
 
     /** Two halves that hear one another only through the machine that is hit. */
-    private List<Cut> bridge(Trouble trouble) {
+    private List<Cut> bridge(ScheduledFault trouble) {
         var rest = new ArrayList<>(world.slots());
         rest.remove(trouble.slot());
         var half = rest.size() / 2;
@@ -252,7 +252,7 @@
         return cuts;
     }
 
-    private List<Cut> pair(Trouble trouble) {
+    private List<Cut> pair(ScheduledFault trouble) {
         var slots = world.slots();
         var a = slots.get(trouble.slot());
         var b =
@@ -333,7 +333,7 @@
         return true;
     }
 
-    private boolean replaceTwice(Trouble trouble) {
+    private boolean replaceTwice(ScheduledFault trouble) {
         if (!replacePlanned(trouble.slot(), trouble.lastsMs() * 1000)) {
             return false;
         }
@@ -345,7 +345,7 @@
         return true;
     }
 
-    private boolean storm(Trouble trouble) {
+    private boolean storm(ScheduledFault trouble) {
         world.storm(trouble.slot(), STORM_LEAST + trouble.choice() % STORM_SPREAD);
         return true;
     }
--- a/simulation/src/main/java/martenloom/simulation/TroubleKind.java
+++ b/simulation/src/main/java/martenloom/simulation/FaultKind.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /** The kinds of trouble that a schedule may hold. */
-public enum TroubleKind {
+public enum FaultKind {
     /** A process ends at once, at times in the middle of a write, and comes back. */
     KILL,
     /** All processes end at once and come back. */
@@ -70,7 +70,7 @@
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    public static Optional<TroubleKind> of(String word) {
+    public static Optional<FaultKind> of(String word) {
         return Arrays.stream(values()).filter(k -> k.word().equals(word)).findFirst();
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/Schedule.java
+++ b/simulation/src/main/java/martenloom/simulation/FaultSchedule.java
@@ -9,7 +9,7 @@
 /**
  * The troubles of one simulated day, and the seed from which everything else of that day is drawn.
  */
-public record Schedule(long seed, int members, List<Trouble> troubles) {
+public record FaultSchedule(long seed, int members, List<ScheduledFault> troubles) {
     private static final int FEWEST = 3;
     private static final int MOST = 14;
     private static final int FEWEST_KINDS = 2;
@@ -21,9 +21,9 @@
      * Draws a schedule: some troubles come alone, others close upon one another. Two days of three
      * draw from a few kinds only, which then meet more often (swarm testing).
      */
-    public static Schedule draw(long seed, int members, List<TroubleKind> kinds) {
-        var random = Randomness.of(seed, "schedule");
-        var troubles = new ArrayList<Trouble>();
+    public static FaultSchedule draw(long seed, int members, List<FaultKind> kinds) {
+        var random = RandomStream.of(seed, "schedule");
+        var troubles = new ArrayList<ScheduledFault>();
         var count = FEWEST + random.below(MOST - FEWEST + 1);
         var atMs = random.between(0, 3_000);
         var some = random.oneIn(3) ? kinds : few(kinds, random);
@@ -31,24 +31,25 @@
             troubles.add(trouble(atMs, random, members, some));
             atMs += random.oneIn(3) ? random.between(4_000, 14_000) : random.between(0, 1_500);
         }
-        return new Schedule(seed, members, List.copyOf(troubles));
+        return new FaultSchedule(seed, members, List.copyOf(troubles));
     }
 
-    private static List<TroubleKind> few(List<TroubleKind> kinds, Randomness random) {
+    private static List<FaultKind> few(List<FaultKind> kinds, RandomStream random) {
         var count = FEWEST_KINDS + random.below(MOST_KINDS - FEWEST_KINDS + 1);
         return IntStream.range(0, count).mapToObj(i -> random.pick(kinds)).distinct().toList();
     }
 
-    private static Trouble trouble(
-            long atMs, Randomness random, int members, List<TroubleKind> kinds) {
+    private static ScheduledFault trouble(
+            long atMs, RandomStream random, int members, List<FaultKind> kinds) {
         var kind = random.pick(kinds);
         var lastsMs =
-                kind == TroubleKind.CUT_LONG
+                kind == FaultKind.CUT_LONG
                         ? LONG_CUT_MS
                         : random.oneIn(3)
                                 ? random.between(1_500, 8_000)
                                 : random.between(50, 1_500);
-        return new Trouble(atMs, kind, random.below(members), lastsMs, random.below(1 << 16));
+        return new ScheduledFault(
+                atMs, kind, random.below(members), lastsMs, random.below(1 << 16));
     }
 
     /** When the last trouble is over. */
@@ -56,9 +57,9 @@
         return troubles.stream().mapToLong(t -> t.atMs() + t.lastsMs()).max().orElse(0);
     }
 
-    Schedule with(List<Trouble> kept) {
-        var sorted = kept.stream().sorted(Comparator.comparingLong(Trouble::atMs)).toList();
-        return new Schedule(seed, members, sorted);
+    FaultSchedule with(List<ScheduledFault> kept) {
+        var sorted = kept.stream().sorted(Comparator.comparingLong(ScheduledFault::atMs)).toList();
+        return new FaultSchedule(seed, members, sorted);
     }
 
     @Override
--- a/simulation/src/main/java/martenloom/simulation/Invariants.java
+++ b/simulation/src/main/java/martenloom/simulation/InvariantChecker.java
@@ -10,10 +10,10 @@
 import martenloom.core.state.ClusterState;
 
 /**
- * Looks on at every commit and every acknowledgement, and throws a {@link Violation} at the first
- * that must not be.
+ * Looks on at every commit and every acknowledgement, and throws a {@link InvariantViolation} at
+ * the first that must not be.
  */
-final class Invariants {
+final class InvariantChecker {
     private record Acknowledger(String address, long life) {}
 
     private final TreeMap<Long, ClusterState> committed = new TreeMap<>();
@@ -50,7 +50,7 @@
             committed.put(state.edition, state);
             onNewEdition(state);
         } else if (!Arrays.equals(known, mine)) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.ONE_STATE_PER_EDITION,
                     address + " commits another state under edition " + state.edition);
         }
@@ -71,7 +71,7 @@
         var both = new HashSet<>(before);
         both.addAll(after);
         if (majority(before) + majority(after) <= both.size()) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.MAJORITIES_MEET, "roster " + before + " is followed by " + after);
         }
     }
@@ -84,7 +84,7 @@
         var mine = new Acknowledger(address, life);
         var known = acknowledgers.putIfAbsent(view, mine);
         if (known != null && !known.equals(mine)) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.ONE_HEAD_PER_VIEW,
                     "in view " + view + " both " + known + " and " + mine + " acknowledge");
         }
--- a/simulation/src/main/java/martenloom/simulation/Violation.java
+++ b/simulation/src/main/java/martenloom/simulation/InvariantViolation.java
@@ -1,11 +1,11 @@
 package martenloom.simulation;
 
 /** A broken invariant: which one, when in simulated time, and what was seen. */
-public final class Violation extends RuntimeException {
+public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
     private final Invariant invariant;
 
-    Violation(Invariant invariant, String seen) {
+    InvariantViolation(Invariant invariant, String seen) {
         super(invariant + ": " + seen, null, false, false);
         this.invariant = invariant;
     }
--- a/simulation/src/main/java/martenloom/simulation/LeaseCandidate.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseCandidate.java
@@ -12,9 +12,9 @@
 
     private final String key;
     private final String holder;
-    private final Agenda agenda;
-    private final Randomness random;
-    private final Callers.Directory machines;
+    private final EventQueue agenda;
+    private final RandomStream random;
+    private final RetryingClient.Directory machines;
     private final LeaseHistory history;
     private String home = "";
     private long heardUs;
@@ -22,9 +22,9 @@
     LeaseCandidate(
             String key,
             String holder,
-            Agenda agenda,
-            Randomness random,
-            Callers.Directory machines,
+            EventQueue agenda,
+            RandomStream random,
+            RetryingClient.Directory machines,
             LeaseHistory history) {
         this.key = key;
         this.holder = holder;
@@ -57,7 +57,7 @@
     }
 
     private void arrive(String address, long stampUs) {
-        Optional<Process> process = machines.running(address);
+        Optional<SimulatedMember> process = machines.running(address);
         process.ifPresent(
                 p -> p.whenAwake(this, () -> p.onWish(key, holder, stampUs, this::answered)));
     }
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -21,12 +21,12 @@
         void granted(long grant, long stampUs);
     }
 
-    private final Process process;
+    private final SimulatedMember process;
     private final RoleLeaseService duties;
     private final Map<String, Grantee> grantees = new HashMap<>();
     private final Map<String, Long> passedOnUs = new HashMap<>();
 
-    LeaseForwarder(Process process, RoleLeaseService duties) {
+    LeaseForwarder(SimulatedMember process, RoleLeaseService duties) {
         this.process = process;
         this.duties = duties;
     }
--- a/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
@@ -62,7 +62,7 @@
 
     private static void check(boolean holds, String seen, Object... arguments) {
         if (!holds) {
-            throw new Violation(Invariant.FENCED_LEASE, String.format(seen, arguments));
+            throw new InvariantViolation(Invariant.FENCED_LEASE, String.format(seen, arguments));
         }
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/Environment.java
+++ b/simulation/src/main/java/martenloom/simulation/MemberEnvironment.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /** What a simulated process is given from outside. */
-interface Environment {
-    Agenda agenda();
+interface MemberEnvironment {
+    EventQueue agenda();
 
     SimulatedNetwork network();
 
-    Randomness disks();
+    RandomStream disks();
 
-    Invariants invariants();
+    InvariantChecker invariants();
 
     /** Addresses that the settings file of a starting machine names. */
     List<String> seeds();
--- a/simulation/src/main/java/martenloom/simulation/Randomness.java
+++ b/simulation/src/main/java/martenloom/simulation/RandomStream.java
@@ -9,19 +9,19 @@
  * simulation draws from a stream of its own, so that dropping one trouble from a schedule disturbs
  * the others as little as possible.
  */
-final class Randomness {
+final class RandomStream {
     /** The golden ratio in 64 bits, as in SplitMix: neighbouring seeds lie far apart. */
     private static final long SPREAD = 0x9E3779B97F4A7C15L;
 
     private final UniformRandomProvider source;
 
-    private Randomness(UniformRandomProvider source) {
+    private RandomStream(UniformRandomProvider source) {
         this.source = source;
     }
 
     /** The stream of one part of the simulation; the same seed and part give the same stream. */
-    static Randomness of(long seed, String part) {
-        return new Randomness(
+    static RandomStream of(long seed, String part) {
+        return new RandomStream(
                 RandomSource.XO_SHI_RO_256_SS.create(seed * SPREAD + part.hashCode()));
     }
 
--- a/simulation/src/main/java/martenloom/simulation/Reply.java
+++ b/simulation/src/main/java/martenloom/simulation/ReplyCallback.java
@@ -2,7 +2,7 @@
 
 /** Takes what an order came to: a status as of HTTP, and a text. */
 @FunctionalInterface
-interface Reply {
+interface ReplyCallback {
     /** The outcome is not known, or nothing was done: the caller may call again. */
     int UNAVAILABLE = 503;
 
--- a/simulation/src/main/java/martenloom/simulation/Callers.java
+++ b/simulation/src/main/java/martenloom/simulation/RetryingClient.java
@@ -10,7 +10,7 @@
  * the same call goes to another one, with a pause that grows, while the copies sent before are
  * still under way.
  */
-final class Callers {
+final class RetryingClient {
     private static final long SILENCE_US = 1_000_000;
     private static final long FIRST_PAUSE_US = 100_000;
     private static final long LONGEST_PAUSE_US = 800_000;
@@ -27,8 +27,8 @@
         }
     }
 
-    private final Agenda agenda;
-    private final Randomness random;
+    private final EventQueue agenda;
+    private final RandomStream random;
     private final Directory machines;
     private boolean lossy;
 
@@ -36,10 +36,10 @@
     interface Directory {
         List<String> addresses();
 
-        Optional<Process> running(String address);
+        Optional<SimulatedMember> running(String address);
     }
 
-    Callers(Agenda agenda, Randomness random, Directory machines) {
+    RetryingClient(EventQueue agenda, RandomStream random, Directory machines) {
         this.agenda = agenda;
         this.random = random;
         this.machines = machines;
@@ -77,7 +77,7 @@
         }
 
         private void arrive(String address, int n) {
-            var process = lost() ? Optional.<Process>empty() : machines.running(address);
+            var process = lost() ? Optional.<SimulatedMember>empty() : machines.running(address);
             process.ifPresent(
                     p ->
                             p.whenAwake(
--- a/simulation/src/main/java/martenloom/simulation/Shrinker.java
+++ b/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
@@ -9,18 +9,18 @@
  * single troubles, as long as the same invariant stays broken. Everything that is not a trouble is
  * drawn from the same seed.
  */
-public final class Shrinker {
+public final class ScheduleShrinker {
     private static final int MOST_RUNS = 200;
-    private final Function<Schedule, Day> runner;
+    private final Function<FaultSchedule, DayResult> runner;
     private int runs;
 
     /** A shrinker that runs schedules with the given function. */
-    public Shrinker(Function<Schedule, Day> runner) {
+    public ScheduleShrinker(Function<FaultSchedule, DayResult> runner) {
         this.runner = runner;
     }
 
     /** The shortest failing day that was found. */
-    public Day shrink(Day failing) {
+    public DayResult shrink(DayResult failing) {
         var best = failing;
         var size = Math.max(1, failing.schedule().troubles().size() / 2);
         while (runs < MOST_RUNS) {
@@ -40,7 +40,7 @@
      * The first failing day with one run of so many neighbouring troubles left out; the same day if
      * there is none.
      */
-    private Day without(Day day, int size) {
+    private DayResult without(DayResult day, int size) {
         var troubles = day.schedule().troubles();
         for (var from = 0; from < troubles.size() && runs < MOST_RUNS; from += size) {
             var kept = new ArrayList<>(troubles.subList(0, from));
@@ -53,12 +53,12 @@
         return day;
     }
 
-    private Day run(Schedule schedule, List<Trouble> kept) {
+    private DayResult run(FaultSchedule schedule, List<ScheduledFault> kept) {
         runs++;
         return runner.apply(schedule.with(kept));
     }
 
-    private static boolean sameFault(Day a, Day b) {
+    private static boolean sameFault(DayResult a, DayResult b) {
         return b.violation().isPresent()
                 && b.violation().get().invariant() == a.violation().get().invariant();
     }
--- a/simulation/src/main/java/martenloom/simulation/Trouble.java
+++ b/simulation/src/main/java/martenloom/simulation/ScheduledFault.java
@@ -8,7 +8,7 @@
  * @param lastsMs how long it lasts, where that has a meaning
  * @param choice a number from which the details are drawn
  */
-public record Trouble(long atMs, TroubleKind kind, int slot, long lastsMs, int choice) {
+public record ScheduledFault(long atMs, FaultKind kind, int slot, long lastsMs, int choice) {
     @Override
     public String toString() {
         return String.format(
--- a/simulation/src/main/java/martenloom/simulation/World.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedCluster.java
@@ -10,7 +10,8 @@
 import java.util.TreeSet;
 
 /** One simulated day: machines, network, callers, and the troubles of its schedule. */
-final class World implements Environment, SimulatedNetwork.Machines, Callers.Directory {
+final class SimulatedCluster
+        implements MemberEnvironment, SimulatedNetwork.Machines, RetryingClient.Directory {
     private static final long MONITOR_US = 100_000;
     private static final long WARM_UP_US = 60_000_000;
 
@@ -29,18 +30,18 @@
     private static final int FOUNDERS = 3;
     private static final int LARGE = 9;
 
-    private final Schedule schedule;
+    private final FaultSchedule schedule;
     private final long mostSteps;
-    private final Agenda agenda = new Agenda();
-    private final Invariants invariants = new Invariants();
-    private final Randomness disks;
+    private final EventQueue agenda = new EventQueue();
+    private final InvariantChecker invariants = new InvariantChecker();
+    private final RandomStream disks;
     private final SimulatedNetwork network;
-    private final Callers callers;
-    private final Map<String, Machine> machines = new TreeMap<>();
+    private final RetryingClient callers;
+    private final Map<String, SimulatedMachine> machines = new TreeMap<>();
     private final List<String> slots = new ArrayList<>();
     private final List<ConfigurationOperator> operators = new ArrayList<>();
-    private final Set<TroubleKind> broughtAbout = EnumSet.noneOf(TroubleKind.class);
-    private final Troubles troubles;
+    private final Set<FaultKind> broughtAbout = EnumSet.noneOf(FaultKind.class);
+    private final FaultInjector troubles;
     private final Set<String> lostState = new TreeSet<>();
     private long calmSinceUs;
     private long progressUs;
@@ -51,17 +52,17 @@
     private long steps;
     private int replacements;
 
-    World(Schedule schedule, long mostSteps) {
+    SimulatedCluster(FaultSchedule schedule, long mostSteps) {
         this.schedule = schedule;
         this.mostSteps = mostSteps;
-        disks = Randomness.of(schedule.seed(), "disks");
-        network = new SimulatedNetwork(agenda, Randomness.of(schedule.seed(), "network"), this);
-        callers = new Callers(agenda, Randomness.of(schedule.seed(), "callers"), this);
+        disks = RandomStream.of(schedule.seed(), "disks");
+        network = new SimulatedNetwork(agenda, RandomStream.of(schedule.seed(), "network"), this);
+        callers = new RetryingClient(agenda, RandomStream.of(schedule.seed(), "callers"), this);
         for (var i = 0; i < schedule.members(); i++) {
             slots.add("10.0.0." + (i + 1));
         }
-        slots.forEach(a -> machines.put(a, new Machine(a, disks)));
-        troubles = new Troubles(this);
+        slots.forEach(a -> machines.put(a, new SimulatedMachine(a, disks)));
+        troubles = new FaultInjector(this);
     }
 
     // ---- the day
@@ -86,12 +87,12 @@
                             name,
                             callers,
                             agenda,
-                            Randomness.of(schedule.seed(), "operator " + name),
+                            RandomStream.of(schedule.seed(), "operator " + name),
                             configurations));
         }
         operators.forEach(ConfigurationOperator::start);
         for (var name : List.of("c", "d")) {
-            var random = Randomness.of(schedule.seed(), "reader " + name);
+            var random = RandomStream.of(schedule.seed(), "reader " + name);
             new ConfigurationReader(callers, agenda, random, configurations).start();
         }
         for (var zone : List.of("north-1", "south-1")) {
@@ -99,7 +100,7 @@
                             zone,
                             callers,
                             agenda,
-                            Randomness.of(schedule.seed(), zone),
+                            RandomStream.of(schedule.seed(), zone),
                             invariants.evacuations())
                     .start();
         }
@@ -108,7 +109,7 @@
                             "scale/north",
                             holder,
                             agenda,
-                            Randomness.of(schedule.seed(), holder),
+                            RandomStream.of(schedule.seed(), holder),
                             this,
                             invariants.leases())
                     .start();
@@ -119,7 +120,7 @@
     private void warmUp() {
         while (!grown()) {
             if (agenda.nowUs() > WARM_UP_US) {
-                throw new Violation(
+                throw new InvariantViolation(
                         Invariant.PROGRESS,
                         "the core has not grown to all its members in a minute");
             }
@@ -133,7 +134,7 @@
                 .anyMatch(this::headsAll);
     }
 
-    private boolean headsAll(Process process) {
+    private boolean headsAll(SimulatedMember process) {
         var chain = process.chain();
         return chain.heading()
                 && chain.chain().size() == schedule.members()
@@ -154,7 +155,7 @@
         return agenda.stepUntil(timeUs);
     }
 
-    private void bringAbout(Trouble trouble) {
+    private void bringAbout(ScheduledFault trouble) {
         if (troubles.bringAbout(trouble)) {
             broughtAbout.add(trouble.kind());
             calmSinceUs = agenda.nowUs();
@@ -165,7 +166,7 @@
         return steps;
     }
 
-    Set<TroubleKind> broughtAbout() {
+    Set<FaultKind> broughtAbout() {
         return broughtAbout;
     }
 
@@ -202,7 +203,7 @@
 
     private void checkProgress(long now) {
         if (now - progressUs > CALM_BOUND_US) {
-            throw new Violation(
+            throw new InvariantViolation(
                     Invariant.PROGRESS,
                     "calm for "
                             + (now - calmSinceUs) / 1000
@@ -217,7 +218,7 @@
         for (var address : slots) {
             var edition = running(address).map(p -> p.chain().committed().edition).orElse(0L);
             if (edition < newestBeforeLag) {
-                throw new Violation(
+                throw new InvariantViolation(
                         Invariant.LEVEL,
                         address
                                 + " is at edition "
@@ -288,11 +289,11 @@
         return running(address).filter(p -> p.chain().heading()).isPresent();
     }
 
-    Machine machine(String address) {
+    SimulatedMachine machine(String address) {
         return machines.get(address);
     }
 
-    Optional<Machine> machineIfPresent(String address) {
+    Optional<SimulatedMachine> machineIfPresent(String address) {
         return Optional.ofNullable(machines.get(address));
     }
 
@@ -302,7 +303,7 @@
      */
     String replace(int slot) {
         var address = "10.0.1." + ++replacements;
-        var machine = new Machine(address, disks);
+        var machine = new SimulatedMachine(address, disks);
         machines.put(address, machine);
         slots.set(slot, address);
         machine.start(this, false);
@@ -311,21 +312,21 @@
 
     /** A machine is gone for good, with its disk. */
     void remove(String address) {
-        Optional.ofNullable(machines.remove(address)).ifPresent(Machine::kill);
+        Optional.ofNullable(machines.remove(address)).ifPresent(SimulatedMachine::kill);
     }
 
     void storm(int operator, int count) {
         operators.get(operator % operators.size()).storm(count);
     }
 
-    Callers callers() {
+    RetryingClient callers() {
         return callers;
     }
 
     // ---- what processes, the network and callers see
 
     @Override
-    public Agenda agenda() {
+    public EventQueue agenda() {
         return agenda;
     }
 
@@ -335,12 +336,12 @@
     }
 
     @Override
-    public Randomness disks() {
+    public RandomStream disks() {
         return disks;
     }
 
     @Override
-    public Invariants invariants() {
+    public InvariantChecker invariants() {
         return invariants;
     }
 
@@ -360,17 +361,17 @@
     }
 
     @Override
-    public Optional<Process> running(String address) {
-        return Optional.ofNullable(machines.get(address)).flatMap(Machine::process);
+    public Optional<SimulatedMember> running(String address) {
+        return Optional.ofNullable(machines.get(address)).flatMap(SimulatedMachine::process);
     }
 
     @Override
-    public void connected(Process dialer, String listener) {
+    public void connected(SimulatedMember dialer, String listener) {
         dialer.whenAwake(listener, () -> dialer.onConnected(listener));
     }
 
     @Override
-    public void deliver(Process to, SimulatedNetwork.Connection by, byte[] record) {
+    public void deliver(SimulatedMember to, SimulatedNetwork.Connection by, byte[] record) {
         to.whenAwake(by, () -> to.onRecord(by, record));
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
@@ -42,14 +42,14 @@
 
     private record Removed(String name) implements FolderChange {}
 
-    private final Randomness random;
+    private final RandomStream random;
     private final Map<String, File> names = new TreeMap<>();
     private final Map<String, File> lasting = new HashMap<>();
     private final List<FolderChange> unsynced = new ArrayList<>();
     private int stepsLeft = Integer.MAX_VALUE;
     private boolean full;
 
-    SimulatedDisk(Randomness random) {
+    SimulatedDisk(RandomStream random) {
         this.random = random;
     }
 
--- a/simulation/src/main/java/martenloom/simulation/Machine.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedMachine.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /** A machine that counts: its disk, and the process that runs on it. */
-final class Machine {
+final class SimulatedMachine {
     private static final long QUICK_SYNC_US = 6_000;
     private static final long SLOW_SYNC_US = 120_000;
 
     private final String address;
-    private final Randomness random;
+    private final RandomStream random;
     private final SimulatedDisk disk;
-    private Optional<Process> process = Optional.empty();
+    private Optional<SimulatedMember> process = Optional.empty();
     private long stalledUntilUs;
 
-    Machine(String address, Randomness random) {
+    SimulatedMachine(String address, RandomStream random) {
         this.address = address;
         this.random = random;
         disk = new SimulatedDisk(random);
@@ -27,13 +27,13 @@
         return disk;
     }
 
-    Optional<Process> process() {
+    Optional<SimulatedMember> process() {
         return process;
     }
 
-    void start(Environment environment, boolean bootstrap) {
+    void start(MemberEnvironment environment, boolean bootstrap) {
         disk.restart();
-        process = Optional.of(new Process(this, environment, bootstrap));
+        process = Optional.of(new SimulatedMember(this, environment, bootstrap));
     }
 
     /** Ends the process; tells whether there was one. */
--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedMember.java
@@ -21,7 +21,7 @@
  * One life of a core member: the chain, the store and the hand-over of orders, with the simulated
  * world around them.
  */
-final class Process {
+final class SimulatedMember {
     private static final long TICK_US = 50_000;
     private static final long LATE_US = 5_000;
     private static final long HELLO_US = 500_000;
@@ -35,11 +35,11 @@
     private static final long API_PAUSE_US = 60_000;
     private static final int MOST_DISK_STEPS = 12;
 
-    private final Machine machine;
-    private final Environment environment;
+    private final SimulatedMachine machine;
+    private final MemberEnvironment environment;
     private final VersionedStore disk;
     private final ChainMember chain;
-    private final OrderForwarder orders;
+    private final CommandForwarder orders;
     private final LeaseForwarder leases;
     private final RoleLeaseService duties;
     private final Set<String> dials = new TreeSet<>();
@@ -52,7 +52,7 @@
     private long leaveSinceUs;
     private long frozenUntilUs;
 
-    Process(Machine machine, Environment environment, boolean bootstrap) {
+    SimulatedMember(SimulatedMachine machine, MemberEnvironment environment, boolean bootstrap) {
         this.machine = machine;
         this.environment = environment;
         startedUs = nowUs();
@@ -75,7 +75,7 @@
                         kept,
                         Comparator.naturalOrder(),
                         nowUs());
-        orders = new OrderForwarder(this, environment.disks().any());
+        orders = new CommandForwarder(this, environment.disks().any());
         duties =
                 new RoleLeaseService(
                         chain,
@@ -238,23 +238,24 @@
      * An order of a caller, as the control API takes it: tried again for a while when there is no
      * head.
      */
-    void onOrder(ClusterState.Change change, Reply reply) {
+    void onOrder(ClusterState.Change change, ReplyCallback reply) {
         if (leaving) {
-            reply.accept(Reply.UNAVAILABLE, "this daemon is leaving");
+            reply.accept(ReplyCallback.UNAVAILABLE, "this daemon is leaving");
             return;
         }
         order(chain.committed().accepted(change), nowUs(), reply);
     }
 
-    private void order(ClusterState.Change change, long sinceUs, Reply reply) {
+    private void order(ClusterState.Change change, long sinceUs, ReplyCallback reply) {
         orders.forward(
                 change,
                 (status, text) -> {
-                    if (status == Reply.UNAVAILABLE && nowUs() - sinceUs < API_PATIENCE_US) {
+                    if (status == ReplyCallback.UNAVAILABLE
+                            && nowUs() - sinceUs < API_PATIENCE_US) {
                         after(API_PAUSE_US, () -> order(change, sinceUs, reply));
                     } else {
                         var unclear = status == ClusterState.STALE_ORDER;
-                        reply.accept(unclear ? Reply.UNAVAILABLE : status, text);
+                        reply.accept(unclear ? ReplyCallback.UNAVAILABLE : status, text);
                     }
                 });
     }
@@ -331,7 +332,7 @@
     }
 
     /** Ends this life; a write under way ends between any two of its steps. */
-    void end(Randomness random) {
+    void end(RandomStream random) {
         running = false;
         if (stores.isEmpty()) {
             return;
--- a/simulation/src/main/java/martenloom/simulation/SimulatedNetwork.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedNetwork.java
@@ -23,12 +23,12 @@
     /** What the network needs to know of the machines. */
     interface Machines {
         /** The running process of a machine. */
-        Optional<Process> running(String address);
+        Optional<SimulatedMember> running(String address);
 
         /** A member's connection to another one is up. */
-        void connected(Process dialer, String listener);
+        void connected(SimulatedMember dialer, String listener);
 
-        void deliver(Process to, Connection by, byte[] record);
+        void deliver(SimulatedMember to, Connection by, byte[] record);
     }
 
     private record Pair(String from, String to) {}
@@ -38,20 +38,20 @@
      * it in.
      */
     final class Connection {
-        final Process dialer;
-        final Process listener;
+        final SimulatedMember dialer;
+        final SimulatedMember listener;
         private final Direction forward = new Direction(this, false);
         private final Direction back = new Direction(this, true);
         private boolean open = true;
         private long silentSinceUs = Long.MAX_VALUE;
 
-        private Connection(Process dialer, Process listener) {
+        private Connection(SimulatedMember dialer, SimulatedMember listener) {
             this.dialer = dialer;
             this.listener = listener;
         }
 
         /** The other end, as seen from one of the two. */
-        Process peerOf(Process self) {
+        SimulatedMember peerOf(SimulatedMember self) {
             return self.address().equals(dialer.address()) ? listener : dialer;
         }
 
@@ -77,7 +77,7 @@
             this.toDialer = toDialer;
         }
 
-        private Process receiver() {
+        private SimulatedMember receiver() {
             return toDialer ? connection.dialer : connection.listener;
         }
 
@@ -88,8 +88,8 @@
         }
     }
 
-    private final Agenda agenda;
-    private final Randomness random;
+    private final EventQueue agenda;
+    private final RandomStream random;
     private final Machines machines;
     private final Map<Pair, Connection> connections = new HashMap<>();
     private final Map<Pair, Long> redialUs = new HashMap<>();
@@ -100,7 +100,7 @@
     private double duplicates;
     private boolean slow;
 
-    SimulatedNetwork(Agenda agenda, Randomness random, Machines machines) {
+    SimulatedNetwork(EventQueue agenda, RandomStream random, Machines machines) {
         this.agenda = agenda;
         this.random = random;
         this.machines = machines;
@@ -155,7 +155,7 @@
     // ---- connections
 
     /** Keeps a member's connections up: closes what is silent or ended, dials what is missing. */
-    void maintain(Process dialer, Set<String> others) {
+    void maintain(SimulatedMember dialer, Set<String> others) {
         for (var other : others) {
             var pair = new Pair(dialer.address(), other);
             var connection = connections.get(pair);
@@ -182,7 +182,7 @@
         }
     }
 
-    private void dial(Process dialer, Pair pair) {
+    private void dial(SimulatedMember dialer, Pair pair) {
         var peer = machines.running(pair.to);
         if (peer.isEmpty() || isCut(pair) || isCut(new Pair(pair.to, pair.from))) {
             redialUs.put(pair, agenda.nowUs() + REDIAL_US);
@@ -223,14 +223,14 @@
     }
 
     /** The open connection that a member has dialed to another. */
-    Optional<Connection> connection(Process from, String to) {
+    Optional<Connection> connection(SimulatedMember from, String to) {
         return Optional.ofNullable(connections.get(new Pair(from.address(), to)))
                 .filter(c -> c.open && c.dialer == from);
     }
 
     // ---- records
 
-    void send(Process from, String to, byte[] record) {
+    void send(SimulatedMember from, String to, byte[] record) {
         connection(from, to).ifPresent(c -> c.send(record));
     }
 
--- a/simulation/src/main/java/martenloom/simulation/Simulation.java
+++ b/simulation/src/main/java/martenloom/simulation/Simulation.java
@@ -30,11 +30,11 @@
      * @param steps the most steps of a day
      * @param kinds the kinds of trouble to draw from
      */
-    public record Options(long seed, int days, int members, long steps, List<TroubleKind> kinds) {}
+    public record Options(long seed, int days, int members, long steps, List<FaultKind> kinds) {}
 
     private final Options options;
     private final PrintStream out;
-    private final Map<TroubleKind, Integer> broughtAbout = new EnumMap<>(TroubleKind.class);
+    private final Map<FaultKind, Integer> broughtAbout = new EnumMap<>(FaultKind.class);
     private long steps;
 
     public Simulation(Options options, PrintStream out) {
@@ -43,7 +43,7 @@
     }
 
     /** Stops at the first day that breaks an invariant, and returns it shrunk. */
-    public Optional<Day> run() {
+    public Optional<DayResult> run() {
         var level = LOG.getLevel();
         LOG.setLevel(Level.OFF);
         try {
@@ -53,10 +53,10 @@
         }
     }
 
-    private Optional<Day> runDays() {
+    private Optional<DayResult> runDays() {
         for (var i = 0; i < options.days; i++) {
-            var schedule = Schedule.draw(options.seed + i, options.members, options.kinds);
-            var day = Day.run(schedule, options.steps);
+            var schedule = FaultSchedule.draw(options.seed + i, options.members, options.kinds);
+            var day = DayResult.run(schedule, options.steps);
             count(day);
             if (day.violation().isPresent()) {
                 return Optional.of(report(day, i + 1));
@@ -69,17 +69,17 @@
         return Optional.empty();
     }
 
-    private void count(Day day) {
+    private void count(DayResult day) {
         steps += day.steps();
         day.broughtAbout().forEach(k -> broughtAbout.merge(k, 1, Integer::sum));
     }
 
-    private Day report(Day day, int days) {
+    private DayResult report(DayResult day, int days) {
         out.printf(
                 "day %d of seed %d with %d members breaks an invariant%n",
                 days, day.schedule().seed(), options.members);
         out.println(day.violation().get().getMessage());
-        var shrunk = new Shrinker(s -> Day.run(s, options.steps)).shrink(day);
+        var shrunk = new ScheduleShrinker(s -> DayResult.run(s, options.steps)).shrink(day);
         out.printf(
                 "shrunk from %d to %d troubles:%n%s%n",
                 day.schedule().troubles().size(),
--- a/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
+++ b/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
@@ -19,7 +19,7 @@
     private ClusterState state = ClusterState.founded(List.of("a"));
 
     private static void breaks(Invariant invariant, Executable step) {
-        assertEquals(invariant, assertThrows(Violation.class, step).invariant());
+        assertEquals(invariant, assertThrows(InvariantViolation.class, step).invariant());
     }
 
     private static ConfigurationHistory.Order order(long base, String note) {
--- a/simulation/src/test/java/martenloom/simulation/SimulationTest.java
+++ b/simulation/src/test/java/martenloom/simulation/SimulationTest.java
@@ -15,10 +15,10 @@
 /** A fixed set of simulated days, bounded in steps, and the simulation's own promises. */
 final class SimulationTest {
     private static final long STEPS_OF_A_DAY = 100_000;
-    private static final List<TroubleKind> ALL = List.of(TroubleKind.values());
+    private static final List<FaultKind> ALL = List.of(FaultKind.values());
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
 
-    private Simulation simulation(long seed, int days, int members, List<TroubleKind> kinds) {
+    private Simulation simulation(long seed, int days, int members, List<FaultKind> kinds) {
         var options = new Simulation.Options(seed, days, members, STEPS_OF_A_DAY, kinds);
         return new Simulation(options, new PrintStream(printed, true, StandardCharsets.UTF_8));
     }
@@ -37,27 +37,28 @@
 
     @Test
     void theSameScheduleComesToTheSameDay() {
-        var schedule = Schedule.draw(7, 5, ALL);
-        assertEquals(schedule, Schedule.draw(7, 5, ALL));
-        var one = Day.run(schedule, STEPS_OF_A_DAY);
-        var other = Day.run(schedule, STEPS_OF_A_DAY);
+        var schedule = FaultSchedule.draw(7, 5, ALL);
+        assertEquals(schedule, FaultSchedule.draw(7, 5, ALL));
+        var one = DayResult.run(schedule, STEPS_OF_A_DAY);
+        var other = DayResult.run(schedule, STEPS_OF_A_DAY);
         assertEquals(one.steps(), other.steps());
         assertEquals(one.broughtAbout(), other.broughtAbout());
     }
 
     @Test
     void aDayIsBoundedInSteps() {
-        var day = Day.run(Schedule.draw(7, 3, ALL), 1_000);
+        var day = DayResult.run(FaultSchedule.draw(7, 3, ALL), 1_000);
         assertEquals(1_000, day.steps());
         assertTrue(day.violation().isEmpty());
     }
 
     @Test
     void everyKindIsBroughtAboutAndNamed() {
-        for (var kind : TroubleKind.values()) {
-            assertEquals(kind, TroubleKind.of(kind.word()).orElseThrow());
-            var schedule = Schedule.draw(3, 5, List.of(kind));
-            assertFalse(Day.run(schedule, STEPS_OF_A_DAY).broughtAbout().isEmpty(), kind::word);
+        for (var kind : FaultKind.values()) {
+            assertEquals(kind, FaultKind.of(kind.word()).orElseThrow());
+            var schedule = FaultSchedule.draw(3, 5, List.of(kind));
+            assertFalse(
+                    DayResult.run(schedule, STEPS_OF_A_DAY).broughtAbout().isEmpty(), kind::word);
         }
     }
 }
