--- a/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 import martenloom.common.error.MartenloomException;
 import martenloom.common.error.UsageException;
-import martenloom.simulation.FaultKind;
 import martenloom.simulation.Simulation;
+import martenloom.simulation.schedule.FaultKind;
 import org.apache.commons.cli.CommandLine;
 
 /**
--- a/simulation/src/main/java/martenloom/simulation/DayResult.java
+++ b/simulation/src/main/java/martenloom/simulation/DayResult.java
@@ -2,6 +2,11 @@
 
 import java.util.Optional;
 import java.util.Set;
+import martenloom.simulation.cluster.SimulatedCluster;
+import martenloom.simulation.history.Invariant;
+import martenloom.simulation.history.InvariantViolation;
+import martenloom.simulation.schedule.FaultKind;
+import martenloom.simulation.schedule.FaultSchedule;
 
 /** What a simulated day came to. */
 public record DayResult(
--- a/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
+++ b/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
@@ -3,6 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import martenloom.simulation.schedule.FaultSchedule;
+import martenloom.simulation.schedule.ScheduledFault;
 
 /**
  * Makes a schedule that breaks an invariant shorter: leaves out halves, quarters and so on down to
--- a/simulation/src/main/java/martenloom/simulation/Simulation.java
+++ b/simulation/src/main/java/martenloom/simulation/Simulation.java
@@ -7,6 +7,8 @@
 import java.util.Optional;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import martenloom.simulation.schedule.FaultKind;
+import martenloom.simulation.schedule.FaultSchedule;
 
 /**
  * Runs days of drawn schedules one after the other, and prints progress, a summary, and a shrunk
--- a/simulation/src/main/java/martenloom/simulation/CommandForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,12 +9,13 @@
 import martenloom.common.link.PendingRequests;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
+import martenloom.simulation.network.SimulatedNetwork;
 
 /**
  * The way of an order from the member that a caller reached to the head of the chain, and of the
  * answer back, as the core daemon does it.
  */
-final class CommandForwarder {
+public final class CommandForwarder {
     private static final long PATIENCE_US = 2_500_000;
 
     private final SimulatedMember process;
@@ -22,12 +23,12 @@
     private final PendingRequests<SimulatedNetwork.Connection> remote;
     private long lastLocal;
 
-    CommandForwarder(SimulatedMember process, long life) {
+    public CommandForwarder(SimulatedMember process, long life) {
         this.process = process;
         remote = new PendingRequests<>(life);
     }
 
-    void forward(ClusterState.Change change, ReplyCallback reply) {
+    public void forward(ClusterState.Change change, ReplyCallback reply) {
         var chain = process.chain();
         if (chain.heading()) {
             askHere(change, reply);
@@ -47,22 +48,22 @@
     }
 
     /** Hands an order to the chain of this member. */
-    void askHere(ClusterState.Change change, ReplyCallback reply) {
+    public void askHere(ClusterState.Change change, ReplyCallback reply) {
         var id = ++lastLocal;
         local.put(id, reply);
         process.chain().onAsk(process.nowUs(), id, change);
     }
 
-    void onChainAnswer(ChainMember.Answer answer) {
+    public void onChainAnswer(ChainMember.Answer answer) {
         Optional.ofNullable(local.remove(answer.request()))
                 .ifPresent(r -> r.accept(answer.status(), answer.text()));
     }
 
-    void onClosed(SimulatedNetwork.Connection connection) {
+    public void onClosed(SimulatedNetwork.Connection connection) {
         remote.closed(connection, "the link closed before an answer");
     }
 
-    void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
+    public void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
         askHere(ClusterState.Change.read(in), (status, text) -> answer(by, id, status, text));
     }
@@ -74,7 +75,7 @@
         by.answer(record.i32(status).text(text).bytes());
     }
 
-    void onAnswer(SimulatedNetwork.Connection by, RecordReader in) {
+    public void onAnswer(SimulatedNetwork.Connection by, RecordReader in) {
         remote.answered(PendingRequests.RequestId.read(in), by, in.i32(), in.text());
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,17 +7,18 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.core.lease.RoleLeaseService;
+import martenloom.simulation.network.SimulatedNetwork;
 
 /**
  * The way of a candidate's wish for a lease from its home to the head of the chain, and of the
  * grant back, as the core daemon does it.
  */
-final class LeaseForwarder {
+public final class LeaseForwarder {
     private static final long OTHERS_EVERY_US = 350_000;
 
     /** Takes a grant that reached the home of a candidate. */
     @FunctionalInterface
-    interface Grantee {
+    public interface Grantee {
         void granted(long grant, long stampUs);
     }
 
@@ -26,7 +27,7 @@
     private final Map<String, Grantee> grantees = new HashMap<>();
     private final Map<String, Long> passedOnUs = new HashMap<>();
 
-    LeaseForwarder(SimulatedMember process, RoleLeaseService duties) {
+    public LeaseForwarder(SimulatedMember process, RoleLeaseService duties) {
         this.process = process;
         this.duties = duties;
     }
@@ -34,7 +35,7 @@
     /**
      * A candidate wants a lease; its holder's wishes are always passed on, others' now and then.
      */
-    void want(String key, String holder, long stampUs, Grantee grantee) {
+    public void want(String key, String holder, long stampUs, Grantee grantee) {
         grantees.put(holder, grantee);
         var held = Optional.ofNullable(process.chain().committed().duties.get(key));
         if (held.isEmpty() || !held.get().holder.equals(holder)) {
@@ -51,12 +52,12 @@
         process.connection(process.chain().head()).ifPresent(c -> c.send(record.bytes()));
     }
 
-    void onWant(SimulatedNetwork.Connection by, RecordReader in) {
+    public void onWant(SimulatedNetwork.Connection by, RecordReader in) {
         duties.want(in.text(), in.text(), in.i64(), by::answer);
     }
 
     /** A grant counts only when it comes from the head and no newer one is known. */
-    void onGrant(SimulatedNetwork.Connection by, RecordReader in) {
+    public void onGrant(SimulatedNetwork.Connection by, RecordReader in) {
         var ofHead = process.connection(process.chain().head()).filter(c -> c == by).isPresent();
         if (ofHead) {
             grant(in);
--- a/simulation/src/main/java/martenloom/simulation/MemberEnvironment.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/MemberEnvironment.java
@@ -1,9 +1,13 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 import java.util.List;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.InvariantChecker;
+import martenloom.simulation.network.SimulatedNetwork;
 
 /** What a simulated process is given from outside. */
-interface MemberEnvironment {
+public interface MemberEnvironment {
     EventQueue agenda();
 
     SimulatedNetwork network();
--- a/simulation/src/main/java/martenloom/simulation/ReplyCallback.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/ReplyCallback.java
@@ -1,8 +1,8 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 /** Takes what an order came to: a status as of HTTP, and a text. */
 @FunctionalInterface
-interface ReplyCallback {
+public interface ReplyCallback {
     /** The outcome is not known, or nothing was done: the caller may call again. */
     int UNAVAILABLE = 503;
 
--- a/simulation/src/main/java/martenloom/simulation/SimulatedCluster.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -8,9 +8,24 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.faults.FaultInjector;
+import martenloom.simulation.history.Invariant;
+import martenloom.simulation.history.InvariantChecker;
+import martenloom.simulation.history.InvariantViolation;
+import martenloom.simulation.network.SimulatedNetwork;
+import martenloom.simulation.schedule.FaultKind;
+import martenloom.simulation.schedule.FaultSchedule;
+import martenloom.simulation.schedule.ScheduledFault;
+import martenloom.simulation.workload.ConfigurationOperator;
+import martenloom.simulation.workload.ConfigurationReader;
+import martenloom.simulation.workload.EvacuationOperator;
+import martenloom.simulation.workload.LeaseCandidate;
+import martenloom.simulation.workload.RetryingClient;
 
 /** One simulated day: machines, network, callers, and the troubles of its schedule. */
-final class SimulatedCluster
+public final class SimulatedCluster
         implements MemberEnvironment, SimulatedNetwork.Machines, RetryingClient.Directory {
     private static final long MONITOR_US = 100_000;
     private static final long WARM_UP_US = 60_000_000;
@@ -19,7 +34,7 @@
      * Once it is calm for so long, a configuration must have been acknowledged, and every member
      * must be level.
      */
-    static final long CALM_BOUND_US = 6_000_000;
+    public static final long CALM_BOUND_US = 6_000_000;
 
     /**
      * A machine that lost its state counts as lost until it was calm for so long after its return.
@@ -52,7 +67,7 @@
     private long steps;
     private int replacements;
 
-    SimulatedCluster(FaultSchedule schedule, long mostSteps) {
+    public SimulatedCluster(FaultSchedule schedule, long mostSteps) {
         this.schedule = schedule;
         this.mostSteps = mostSteps;
         disks = RandomStream.of(schedule.seed(), "disks");
@@ -67,7 +82,7 @@
 
     // ---- the day
 
-    void run() {
+    public void run() {
         machines.values().forEach(m -> m.start(this, true));
         startCallers();
         warmUp();
@@ -162,11 +177,11 @@
         }
     }
 
-    long steps() {
+    public long steps() {
         return steps;
     }
 
-    Set<FaultKind> broughtAbout() {
+    public Set<FaultKind> broughtAbout() {
         return broughtAbout;
     }
 
@@ -253,12 +268,12 @@
     // ---- losses that are to be borne
 
     /** How many machines may have lost their state at once. */
-    int tolerated() {
+    public int tolerated() {
         return Math.min((schedule.members() - 1) / 2, schedule.members() >= LARGE ? 2 : 1);
     }
 
     /** Counts a machine as lost; refuses when that is one more than is to be borne. */
-    boolean loseState(String address) {
+    public boolean loseState(String address) {
         var others = lostState.stream().filter(a -> !a.equals(address)).count();
         if (others >= tolerated()) {
             return false;
@@ -269,19 +284,19 @@
     }
 
     /** Counts a machine as lost that leaves in order, so that no other one is lost beside it. */
-    void leaveInOrder(String address) {
+    public void leaveInOrder(String address) {
         lostState.add(address);
         calmSinceUs = agenda.nowUs();
     }
 
     // ---- machines
 
-    List<String> slots() {
+    public List<String> slots() {
         return slots;
     }
 
     /** The machine of the present head, if it is one of those that count. */
-    Optional<String> head() {
+    public Optional<String> head() {
         return slots.stream().filter(this::heads).findFirst();
     }
 
@@ -289,11 +304,11 @@
         return running(address).filter(p -> p.chain().heading()).isPresent();
     }
 
-    SimulatedMachine machine(String address) {
+    public SimulatedMachine machine(String address) {
         return machines.get(address);
     }
 
-    Optional<SimulatedMachine> machineIfPresent(String address) {
+    public Optional<SimulatedMachine> machineIfPresent(String address) {
         return Optional.ofNullable(machines.get(address));
     }
 
@@ -301,7 +316,7 @@
      * A new machine takes the place of another among those that count; the other one runs on until
      * it is removed.
      */
-    String replace(int slot) {
+    public String replace(int slot) {
         var address = "10.0.1." + ++replacements;
         var machine = new SimulatedMachine(address, disks);
         machines.put(address, machine);
@@ -311,15 +326,15 @@
     }
 
     /** A machine is gone for good, with its disk. */
-    void remove(String address) {
+    public void remove(String address) {
         Optional.ofNullable(machines.remove(address)).ifPresent(SimulatedMachine::kill);
     }
 
-    void storm(int operator, int count) {
+    public void storm(int operator, int count) {
         operators.get(operator % operators.size()).storm(count);
     }
 
-    RetryingClient callers() {
+    public RetryingClient callers() {
         return callers;
     }
 
--- a/simulation/src/main/java/martenloom/simulation/SimulatedMachine.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMachine.java
@@ -1,9 +1,11 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 import java.util.Optional;
+import martenloom.simulation.disk.SimulatedDisk;
+import martenloom.simulation.engine.RandomStream;
 
 /** A machine that counts: its disk, and the process that runs on it. */
-final class SimulatedMachine {
+public final class SimulatedMachine {
     private static final long QUICK_SYNC_US = 6_000;
     private static final long SLOW_SYNC_US = 120_000;
 
@@ -13,47 +15,47 @@
     private Optional<SimulatedMember> process = Optional.empty();
     private long stalledUntilUs;
 
-    SimulatedMachine(String address, RandomStream random) {
+    public SimulatedMachine(String address, RandomStream random) {
         this.address = address;
         this.random = random;
         disk = new SimulatedDisk(random);
     }
 
-    String address() {
+    public String address() {
         return address;
     }
 
-    SimulatedDisk disk() {
+    public SimulatedDisk disk() {
         return disk;
     }
 
-    Optional<SimulatedMember> process() {
+    public Optional<SimulatedMember> process() {
         return process;
     }
 
-    void start(MemberEnvironment environment, boolean bootstrap) {
+    public void start(MemberEnvironment environment, boolean bootstrap) {
         disk.restart();
         process = Optional.of(new SimulatedMember(this, environment, bootstrap));
     }
 
     /** Ends the process; tells whether there was one. */
-    boolean kill() {
+    public boolean kill() {
         var was = process;
         process = Optional.empty();
         was.ifPresent(p -> p.end(random));
         return was.isPresent();
     }
 
-    void stall(long untilUs) {
+    public void stall(long untilUs) {
         stalledUntilUs = Math.max(stalledUntilUs, untilUs);
     }
 
-    long stalledUntilUs() {
+    public long stalledUntilUs() {
         return stalledUntilUs;
     }
 
     /** How long the next write takes. */
-    long syncUs() {
+    public long syncUs() {
         return random.oneIn(60)
                 ? random.between(QUICK_SYNC_US, SLOW_SYNC_US)
                 : random.between(300, QUICK_SYNC_US);
--- a/simulation/src/main/java/martenloom/simulation/SimulatedMember.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.cluster;
 
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -16,12 +16,15 @@
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
+import martenloom.simulation.disk.SimulatedDisk;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.network.SimulatedNetwork;
 
 /**
  * One life of a core member: the chain, the store and the hand-over of orders, with the simulated
  * world around them.
  */
-final class SimulatedMember {
+public final class SimulatedMember {
     private static final long TICK_US = 50_000;
     private static final long LATE_US = 5_000;
     private static final long HELLO_US = 500_000;
@@ -52,7 +55,8 @@
     private long leaveSinceUs;
     private long frozenUntilUs;
 
-    SimulatedMember(SimulatedMachine machine, MemberEnvironment environment, boolean bootstrap) {
+    public SimulatedMember(
+            SimulatedMachine machine, MemberEnvironment environment, boolean bootstrap) {
         this.machine = machine;
         this.environment = environment;
         startedUs = nowUs();
@@ -89,27 +93,27 @@
         after(environment.disks().between(0, HELLO_US), this::hello);
     }
 
-    String address() {
+    public String address() {
         return machine.address();
     }
 
-    ChainMember chain() {
+    public ChainMember chain() {
         return chain;
     }
 
-    long nowUs() {
+    public long nowUs() {
         return environment.agenda().nowUs();
     }
 
-    long startedUs() {
+    public long startedUs() {
         return startedUs;
     }
 
-    boolean frozen() {
+    public boolean frozen() {
         return nowUs() < frozenUntilUs;
     }
 
-    void freeze(long us) {
+    public void freeze(long us) {
         frozenUntilUs = Math.max(frozenUntilUs, nowUs() + us);
     }
 
@@ -119,7 +123,7 @@
      * Runs an action in this life, once the process is awake. What comes from one source, such as a
      * connection, keeps its order; after a pause the process gets to its sources in any order.
      */
-    void whenAwake(Object source, Runnable action) {
+    public void whenAwake(Object source, Runnable action) {
         if (!running) {
             return;
         }
@@ -141,7 +145,7 @@
         return readyUs;
     }
 
-    void after(long us, Runnable action) {
+    public void after(long us, Runnable action) {
         environment.agenda().after(us, () -> whenAwake(new Object(), action));
     }
 
@@ -164,13 +168,13 @@
     }
 
     /** A connection of this member was taken in by the other end. */
-    void onConnected(String other) {
+    public void onConnected(String other) {
         environment
                 .network()
                 .send(this, other, new RecordWriter(RecordType.HELLO).text(address()).bytes());
     }
 
-    void onRecord(SimulatedNetwork.Connection by, byte[] record) {
+    public void onRecord(SimulatedNetwork.Connection by, byte[] record) {
         var in = new RecordReader(record, true);
         switch (in.type()) {
             case RecordType.HELLO -> {
@@ -194,19 +198,19 @@
         return members;
     }
 
-    void onClosed(SimulatedNetwork.Connection connection) {
+    public void onClosed(SimulatedNetwork.Connection connection) {
         orders.onClosed(connection);
     }
 
     /** A candidate that has made this member its home wants a lease. */
-    void onWish(String key, String holder, long stampUs, LeaseForwarder.Grantee grantee) {
+    public void onWish(String key, String holder, long stampUs, LeaseForwarder.Grantee grantee) {
         leases.want(key, holder, stampUs, grantee);
     }
 
     // ---- leaving in order
 
     /** SIGTERM: leaves the chain in order, and ends when the chain can do without this member. */
-    void leave(Runnable end) {
+    public void leave(Runnable end) {
         if (!leaving) {
             leaving = true;
             leaveSinceUs = nowUs();
@@ -238,7 +242,7 @@
      * An order of a caller, as the control API takes it: tried again for a while when there is no
      * head.
      */
-    void onOrder(ClusterState.Change change, ReplyCallback reply) {
+    public void onOrder(ClusterState.Change change, ReplyCallback reply) {
         if (leaving) {
             reply.accept(ReplyCallback.UNAVAILABLE, "this daemon is leaving");
             return;
@@ -269,11 +273,11 @@
     }
 
     /** The open connection that this member has dialed to another. */
-    Optional<SimulatedNetwork.Connection> connection(String other) {
+    public Optional<SimulatedNetwork.Connection> connection(String other) {
         return environment.network().connection(this, other);
     }
 
-    void send(String to, byte[] record) {
+    public void send(String to, byte[] record) {
         dial(to);
         environment.network().send(this, to, record);
     }
@@ -332,7 +336,7 @@
     }
 
     /** Ends this life; a write under way ends between any two of its steps. */
-    void end(RandomStream random) {
+    public void end(RandomStream random) {
         running = false;
         if (stores.isEmpty()) {
             return;
--- a/simulation/src/main/java/martenloom/simulation/SimulatedDisk.java
+++ b/simulation/src/main/java/martenloom/simulation/disk/SimulatedDisk.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.disk;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,6 +9,7 @@
 import java.util.regex.Pattern;
 import martenloom.common.error.StorageException;
 import martenloom.core.storage.VersionedStore;
+import martenloom.simulation.engine.RandomStream;
 
 /**
  * A folder of files as a kernel keeps it: names and contents that are in memory, and those that
@@ -16,12 +17,12 @@
  * is kept or lost by itself; contents that were not synced are present, missing or torn. The
  * process may be made to end between any two steps of an operation.
  */
-final class SimulatedDisk implements VersionedStore.Folder {
+public final class SimulatedDisk implements VersionedStore.Folder {
     private static final Pattern VERSION_FILE = Pattern.compile(".*-[0-9a-f]{16}");
     private static final byte[] NOTHING = {};
 
     /** The process ended inside an operation. */
-    static final class Ended extends RuntimeException {
+    public static final class Ended extends RuntimeException {
         private static final long serialVersionUID = 1;
 
         Ended() {
@@ -49,31 +50,31 @@
     private int stepsLeft = Integer.MAX_VALUE;
     private boolean full;
 
-    SimulatedDisk(RandomStream random) {
+    public SimulatedDisk(RandomStream random) {
         this.random = random;
     }
 
     /** Makes the process end after so many further steps. */
-    void endAfter(int steps) {
+    public void endAfter(int steps) {
         stepsLeft = steps;
     }
 
-    void setFull(boolean full) {
+    public void setFull(boolean full) {
         this.full = full;
     }
 
     /** A new process on the same machine: what was written is there, synced or not. */
-    void restart() {
+    public void restart() {
         stepsLeft = Integer.MAX_VALUE;
     }
 
-    void wipe() {
+    public void wipe() {
         names.clear();
         lasting.clear();
         unsynced.clear();
     }
 
-    void losePower() {
+    public void losePower() {
         var kept = new TreeMap<>(lasting);
         for (var change : unsynced) {
             if (random.coin()) {
@@ -114,7 +115,7 @@
     }
 
     /** The newest version file is no longer whole. */
-    boolean tearNewest() {
+    public boolean tearNewest() {
         var newest =
                 names.keySet().stream()
                         .filter(n -> VERSION_FILE.matcher(n).matches())
--- a/simulation/src/main/java/martenloom/simulation/EventQueue.java
+++ b/simulation/src/main/java/martenloom/simulation/engine/EventQueue.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.engine;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -7,7 +7,7 @@
  * Simulated time and the events due in it; events of the same moment run in the order in which they
  * were entered.
  */
-final class EventQueue {
+public final class EventQueue {
     private record Entry(long atUs, long order, Runnable action) {}
 
     private static final Comparator<Entry> BY_TIME =
@@ -16,19 +16,19 @@
     private long nowUs = 1_000_000;
     private long entered;
 
-    long nowUs() {
+    public long nowUs() {
         return nowUs;
     }
 
-    void after(long delayUs, Runnable action) {
+    public void after(long delayUs, Runnable action) {
         at(nowUs + Math.max(0, delayUs), action);
     }
 
-    void at(long timeUs, Runnable action) {
+    public void at(long timeUs, Runnable action) {
         entries.add(new Entry(Math.max(nowUs, timeUs), entered++, action));
     }
 
-    void every(long periodUs, Runnable action) {
+    public void every(long periodUs, Runnable action) {
         after(
                 periodUs,
                 () -> {
@@ -41,7 +41,7 @@
      * Runs the next event, if it is due no later than the given time; otherwise moves the time
      * there.
      */
-    boolean stepUntil(long timeUs) {
+    public boolean stepUntil(long timeUs) {
         var next = entries.peek();
         if (next == null || next.atUs > timeUs) {
             nowUs = Math.max(nowUs, timeUs);
--- a/simulation/src/main/java/martenloom/simulation/RandomStream.java
+++ b/simulation/src/main/java/martenloom/simulation/engine/RandomStream.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.engine;
 
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -9,7 +9,7 @@
  * simulation draws from a stream of its own, so that dropping one trouble from a schedule disturbs
  * the others as little as possible.
  */
-final class RandomStream {
+public final class RandomStream {
     /** The golden ratio in 64 bits, as in SplitMix: neighbouring seeds lie far apart. */
     private static final long SPREAD = 0x9E3779B97F4A7C15L;
 
@@ -20,38 +20,38 @@
     }
 
     /** The stream of one part of the simulation; the same seed and part give the same stream. */
-    static RandomStream of(long seed, String part) {
+    public static RandomStream of(long seed, String part) {
         return new RandomStream(
                 RandomSource.XO_SHI_RO_256_SS.create(seed * SPREAD + part.hashCode()));
     }
 
     /** A whole number from 0 up to, but not including, the bound. */
-    int below(int bound) {
+    public int below(int bound) {
         return source.nextInt(bound);
     }
 
     /** A whole number between two bounds, the first included and the second not. */
-    long between(long from, long to) {
+    public long between(long from, long to) {
         return from + source.nextLong(to - from);
     }
 
-    long any() {
+    public long any() {
         return source.nextLong();
     }
 
-    boolean coin() {
+    public boolean coin() {
         return source.nextBoolean();
     }
 
-    boolean chance(double probability) {
+    public boolean chance(double probability) {
         return source.nextDouble() < probability;
     }
 
-    boolean oneIn(int n) {
+    public boolean oneIn(int n) {
         return below(n) == 0;
     }
 
-    <T> T pick(List<T> from) {
+    public <T> T pick(List<T> from) {
         return from.get(below(from.size()));
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/FaultInjector.java
+++ b/simulation/src/main/java/martenloom/simulation/faults/FaultInjector.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.faults;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,9 +6,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
+import martenloom.simulation.cluster.SimulatedCluster;
+import martenloom.simulation.cluster.SimulatedMachine;
+import martenloom.simulation.schedule.ScheduledFault;
 
 /** Brings the troubles of a schedule about, and ends them. */
-final class FaultInjector {
+public final class FaultInjector {
     private static final long SHORTEST_DOWN_US = 100_000;
     private static final double LOSS = 0.2;
     private static final double DUPLICATES = 0.1;
@@ -32,16 +35,16 @@
     /** FaultInjector that are not over, each with what ends it. */
     private final Set<Object> active = new HashSet<>();
 
-    FaultInjector(SimulatedCluster world) {
+    public FaultInjector(SimulatedCluster world) {
         this.world = world;
     }
 
-    boolean calm() {
+    public boolean calm() {
         return active.isEmpty();
     }
 
     /** Ends what can be ended; machines that are down come back by themselves. */
-    void healAll() {
+    public void healAll() {
         world.network().healAll();
         world.network().setLoss(0);
         world.network().setDuplicates(0);
@@ -50,7 +53,7 @@
     }
 
     /** Tells whether it was brought about: what goes beyond the losses to be borne is left out. */
-    boolean bringAbout(ScheduledFault trouble) {
+    public boolean bringAbout(ScheduledFault trouble) {
         var address = target(trouble);
         var lastsUs = trouble.lastsMs() * 1000;
         return switch (trouble.kind()) {
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,11 +15,11 @@
  * history of calls is linearizable when each call that is answered 200 lies at or above the floor
  * that held as it began: the highest version that had been acknowledged or read by then.
  */
-final class ConfigurationHistory {
+public final class ConfigurationHistory {
     private static final Pattern IN_FORCE = Pattern.compile("revision (\\d+) is in place.*");
 
     /** A configuration that an operator wants to see in force. */
-    record Order(long base, long revision, String body) {}
+    public record Order(long base, long revision, String body) {}
 
     private final Map<Long, String> winnerOfRevision = new HashMap<>();
     private final Map<Long, String> winnerOfBase = new HashMap<>();
@@ -30,23 +30,23 @@
     private int acknowledgements;
 
     /** The highest version that every later read must reach. */
-    long floor() {
+    public long floor() {
         return floor;
     }
 
-    int acknowledgements() {
+    public int acknowledgements() {
         return acknowledgements;
     }
 
-    List<Order> acknowledged() {
+    public List<Order> acknowledged() {
         return acknowledged;
     }
 
-    void onSent(Order order) {
+    public void onSent(Order order) {
         sent.put(order.body, order);
     }
 
-    void onCommitted(ClusterState state) {
+    public void onCommitted(ClusterState state) {
         if (state.revision == 0) {
             return;
         }
@@ -72,7 +72,7 @@
     }
 
     /** Two neighbouring editions: the configuration moves on from its base, or stays. */
-    void onNext(ClusterState before, ClusterState after) {
+    public void onNext(ClusterState before, ClusterState after) {
         var moved = after.revision != before.revision;
         var order = sent.get(after.json);
         check(
@@ -81,7 +81,7 @@
                 "revision " + before.revision + " is followed by " + after.json);
     }
 
-    void onAcknowledged(Order order) {
+    public void onAcknowledged(Order order) {
         check(
                 order.body.equals(winnerOfRevision.get(order.revision)),
                 Invariant.OWN_ANSWER,
@@ -93,7 +93,7 @@
         }
     }
 
-    void onRefused(Order order, int status, String text, long floorAtStart) {
+    public void onRefused(Order order, int status, String text, long floorAtStart) {
         check(
                 status == 412,
                 Invariant.REPEATABLE_ORDER,
@@ -115,7 +115,7 @@
     }
 
     /** A read was answered; returns the version read. */
-    long onRead(int status, String text, long floorAtStart) {
+    public long onRead(int status, String text, long floorAtStart) {
         var revision = status == 404 ? 0 : revisionOf(text);
         check(
                 revision >= floorAtStart,
--- a/simulation/src/main/java/martenloom/simulation/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 import java.util.HashMap;
 import java.util.List;
@@ -11,7 +11,7 @@
  * its zone one after the other; once one was acknowledged and until the next is sent, no edition
  * committed from then on may show its opposite.
  */
-final class EvacuationHistory {
+public final class EvacuationHistory {
     private static final class Zone {
         private boolean open;
         private Optional<Boolean> acknowledged = Optional.empty();
@@ -31,7 +31,7 @@
     private final Map<String, Zone> zones = new HashMap<>();
     private ClusterState newest = ClusterState.founded(List.of());
 
-    void onSent(String zone, boolean evacuated) {
+    public void onSent(String zone, boolean evacuated) {
         var z = zones.computeIfAbsent(zone, k -> new Zone());
         z.settledBefore = z.acknowledged.isPresent();
         z.open = true;
@@ -40,7 +40,7 @@
         z.acknowledged = Optional.empty();
     }
 
-    void onAcknowledged(String zone, boolean evacuated) {
+    public void onAcknowledged(String zone, boolean evacuated) {
         var z = zones.get(zone);
         z.open = false;
         z.acknowledged = Optional.of(evacuated);
@@ -67,11 +67,11 @@
         }
     }
 
-    void onGivenUp(String zone) {
+    public void onGivenUp(String zone) {
         zones.get(zone).open = false;
     }
 
-    void onCommitted(ClusterState state) {
+    public void onCommitted(ClusterState state) {
         if (state.edition > newest.edition) {
             newest = state;
         }
--- a/simulation/src/main/java/martenloom/simulation/Invariant.java
+++ b/simulation/src/main/java/martenloom/simulation/history/Invariant.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 /** What has to hold after every step of a simulated day. */
 public enum Invariant {
--- a/simulation/src/main/java/martenloom/simulation/InvariantChecker.java
+++ b/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * Looks on at every commit and every acknowledgement, and throws a {@link InvariantViolation} at
  * the first that must not be.
  */
-final class InvariantChecker {
+public final class InvariantChecker {
     private record Acknowledger(String address, long life) {}
 
     private final TreeMap<Long, ClusterState> committed = new TreeMap<>();
@@ -23,24 +23,24 @@
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
 
-    ConfigurationHistory configurations() {
+    public ConfigurationHistory configurations() {
         return configurations;
     }
 
-    EvacuationHistory evacuations() {
+    public EvacuationHistory evacuations() {
         return evacuations;
     }
 
-    LeaseHistory leases() {
+    public LeaseHistory leases() {
         return leases;
     }
 
     /** The newest edition that any member has committed. */
-    long newestEdition() {
+    public long newestEdition() {
         return committed.isEmpty() ? 0 : committed.lastKey();
     }
 
-    void committed(String address, ClusterState state) {
+    public void committed(String address, ClusterState state) {
         if (state.edition == 0) {
             return;
         }
@@ -80,7 +80,7 @@
         return roster.size() / 2 + 1;
     }
 
-    void acknowledged(ChainMember.Ballot view, String address, long life) {
+    public void acknowledged(ChainMember.Ballot view, String address, long life) {
         var mine = new Acknowledger(address, life);
         var known = acknowledgers.putIfAbsent(view, mine);
         if (known != null && !known.equals(mine)) {
--- a/simulation/src/main/java/martenloom/simulation/InvariantViolation.java
+++ b/simulation/src/main/java/martenloom/simulation/history/InvariantViolation.java
@@ -1,11 +1,11 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 /** A broken invariant: which one, when in simulated time, and what was seen. */
 public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
     private final Invariant invariant;
 
-    InvariantViolation(Invariant invariant, String seen) {
+    public InvariantViolation(Invariant invariant, String seen) {
         super(invariant + ": " + seen, null, false, false);
         this.invariant = invariant;
     }
--- a/simulation/src/main/java/martenloom/simulation/LeaseHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/LeaseHistory.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -6,21 +6,21 @@
 import martenloom.core.state.ClusterState;
 
 /** The leases as their holders see them: one holder at a time, and grants that only rise. */
-final class LeaseHistory {
+public final class LeaseHistory {
     private record Lease(String holder, long grant, long untilUs) {}
 
     private final Map<String, Lease> newest = new HashMap<>();
     private int grants;
 
     /** How many grants reached a candidate. */
-    int grants() {
+    public int grants() {
         return grants;
     }
 
     /**
      * A candidate may act on this grant until its lease, counted from its own wish, has run out.
      */
-    void onGranted(String key, String holder, long grant, long stampUs, long nowUs) {
+    public void onGranted(String key, String holder, long grant, long stampUs, long nowUs) {
         var lease = new Lease(holder, grant, stampUs + RoleLeaseService.LEASE_US);
         if (lease.untilUs <= nowUs) {
             return;
@@ -44,7 +44,7 @@
     /**
      * Between two neighbouring editions a grant stays, or the next number goes to another holder.
      */
-    void onNext(ClusterState before, ClusterState after) {
+    public void onNext(ClusterState before, ClusterState after) {
         after.duties.forEach(
                 (key, duty) -> {
                     var held = before.duties.get(key);
--- a/simulation/src/main/java/martenloom/simulation/SimulatedNetwork.java
+++ b/simulation/src/main/java/martenloom/simulation/network/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.network;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,6 +7,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import martenloom.simulation.cluster.SimulatedMember;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
 
 /**
  * The connections between members, as TCP gives them: each member dials every other one and sends
@@ -15,13 +18,13 @@
  * silent for too long is closed by the one who dialed it, and what waited on it is lost or still
  * arrives, late, beside what its successor carries.
  */
-final class SimulatedNetwork {
+public final class SimulatedNetwork {
     private static final long SILENCE_US = 2_000_000;
     private static final long REDIAL_US = 200_000;
     private static final long LATEST_US = 10_000_000;
 
     /** What the network needs to know of the machines. */
-    interface Machines {
+    public interface Machines {
         /** The running process of a machine. */
         Optional<SimulatedMember> running(String address);
 
@@ -37,9 +40,9 @@
      * One connection, from the life of the member that dialed it to the life of the one that took
      * it in.
      */
-    final class Connection {
-        final SimulatedMember dialer;
-        final SimulatedMember listener;
+    public final class Connection {
+        public final SimulatedMember dialer;
+        public final SimulatedMember listener;
         private final Direction forward = new Direction(this, false);
         private final Direction back = new Direction(this, true);
         private boolean open = true;
@@ -51,17 +54,17 @@
         }
 
         /** The other end, as seen from one of the two. */
-        SimulatedMember peerOf(SimulatedMember self) {
+        public SimulatedMember peerOf(SimulatedMember self) {
             return self.address().equals(dialer.address()) ? listener : dialer;
         }
 
         /** Sends the other way: from the member that took the connection in. */
-        void answer(byte[] record) {
+        public void answer(byte[] record) {
             transmit(back, record);
         }
 
         /** Sends the way it was dialed. */
-        void send(byte[] record) {
+        public void send(byte[] record) {
             transmit(forward, record);
         }
     }
@@ -100,34 +103,34 @@
     private double duplicates;
     private boolean slow;
 
-    SimulatedNetwork(EventQueue agenda, RandomStream random, Machines machines) {
+    public SimulatedNetwork(EventQueue agenda, RandomStream random, Machines machines) {
         this.agenda = agenda;
         this.random = random;
         this.machines = machines;
     }
 
-    void setLoss(double probability) {
+    public void setLoss(double probability) {
         loss = probability;
     }
 
-    void setDuplicates(double probability) {
+    public void setDuplicates(double probability) {
         duplicates = probability;
     }
 
-    void setSlow(boolean slow) {
+    public void setSlow(boolean slow) {
         this.slow = slow;
     }
 
-    void cut(String from, String to) {
+    public void cut(String from, String to) {
         cuts.merge(new Pair(from, to), 1, Integer::sum);
     }
 
-    void heal(String from, String to) {
+    public void heal(String from, String to) {
         cuts.computeIfPresent(new Pair(from, to), (p, n) -> n == 1 ? null : Integer.valueOf(n - 1));
         release();
     }
 
-    void healAll() {
+    public void healAll() {
         cuts.clear();
         release();
     }
@@ -155,7 +158,7 @@
     // ---- connections
 
     /** Keeps a member's connections up: closes what is silent or ended, dials what is missing. */
-    void maintain(SimulatedMember dialer, Set<String> others) {
+    public void maintain(SimulatedMember dialer, Set<String> others) {
         for (var other : others) {
             var pair = new Pair(dialer.address(), other);
             var connection = connections.get(pair);
@@ -209,7 +212,7 @@
     }
 
     /** Resets all connections of a machine, at once; what was under way is lost in part. */
-    void reset(String address) {
+    public void reset(String address) {
         connections.values().stream()
                 .filter(
                         c ->
@@ -223,14 +226,14 @@
     }
 
     /** The open connection that a member has dialed to another. */
-    Optional<Connection> connection(SimulatedMember from, String to) {
+    public Optional<Connection> connection(SimulatedMember from, String to) {
         return Optional.ofNullable(connections.get(new Pair(from.address(), to)))
                 .filter(c -> c.open && c.dialer == from);
     }
 
     // ---- records
 
-    void send(SimulatedMember from, String to, byte[] record) {
+    public void send(SimulatedMember from, String to, byte[] record) {
         connection(from, to).ifPresent(c -> c.send(record));
     }
 
--- a/simulation/src/main/java/martenloom/simulation/FaultKind.java
+++ b/simulation/src/main/java/martenloom/simulation/schedule/FaultKind.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.schedule;
 
 import java.util.Arrays;
 import java.util.Locale;
--- a/simulation/src/main/java/martenloom/simulation/FaultSchedule.java
+++ b/simulation/src/main/java/martenloom/simulation/schedule/FaultSchedule.java
@@ -1,10 +1,11 @@
-package martenloom.simulation;
+package martenloom.simulation.schedule;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import martenloom.simulation.engine.RandomStream;
 
 /**
  * The troubles of one simulated day, and the seed from which everything else of that day is drawn.
@@ -53,11 +54,11 @@
     }
 
     /** When the last trouble is over. */
-    long endMs() {
+    public long endMs() {
         return troubles.stream().mapToLong(t -> t.atMs() + t.lastsMs()).max().orElse(0);
     }
 
-    FaultSchedule with(List<ScheduledFault> kept) {
+    public FaultSchedule with(List<ScheduledFault> kept) {
         var sorted = kept.stream().sorted(Comparator.comparingLong(ScheduledFault::atMs)).toList();
         return new FaultSchedule(seed, members, sorted);
     }
--- a/simulation/src/main/java/martenloom/simulation/ScheduledFault.java
+++ b/simulation/src/main/java/martenloom/simulation/schedule/ScheduledFault.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.schedule;
 
 /**
  * One entry of a schedule.
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/ConfigurationOperator.java
@@ -1,13 +1,16 @@
-package martenloom.simulation;
+package martenloom.simulation.workload;
 
 import java.util.Optional;
 import martenloom.core.state.ClusterState;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.ConfigurationHistory;
 
 /**
  * Reads the configuration, replaces it, and at times sends an order again that was acknowledged
  * long before.
  */
-final class ConfigurationOperator {
+public final class ConfigurationOperator {
     private static final long LONGEST_THOUGHT_US = 400_000;
 
     private final String name;
@@ -18,7 +21,7 @@
     private int orders;
     private int stormLeft;
 
-    ConfigurationOperator(
+    public ConfigurationOperator(
             String name,
             RetryingClient callers,
             EventQueue agenda,
@@ -31,12 +34,12 @@
         this.history = history;
     }
 
-    void start() {
+    public void start() {
         read();
     }
 
     /** Sends so many configurations without a pause. */
-    void storm(int count) {
+    public void storm(int count) {
         stormLeft = count;
     }
 
--- a/simulation/src/main/java/martenloom/simulation/ConfigurationReader.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/ConfigurationReader.java
@@ -1,9 +1,12 @@
-package martenloom.simulation;
+package martenloom.simulation.workload;
 
 import martenloom.core.state.ClusterState;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.ConfigurationHistory;
 
 /** Reads the configuration again and again, from any member. */
-final class ConfigurationReader {
+public final class ConfigurationReader {
     private static final long LONGEST_PAUSE_US = 250_000;
 
     private final RetryingClient callers;
@@ -11,7 +14,7 @@
     private final RandomStream random;
     private final ConfigurationHistory history;
 
-    ConfigurationReader(
+    public ConfigurationReader(
             RetryingClient callers,
             EventQueue agenda,
             RandomStream random,
@@ -22,7 +25,7 @@
         this.history = history;
     }
 
-    void start() {
+    public void start() {
         var floor = history.floor();
         callers.call(
                 new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
--- a/simulation/src/main/java/martenloom/simulation/EvacuationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/EvacuationOperator.java
@@ -1,9 +1,14 @@
-package martenloom.simulation;
+package martenloom.simulation.workload;
 
 import martenloom.core.state.ClusterState;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.EvacuationHistory;
+import martenloom.simulation.history.Invariant;
+import martenloom.simulation.history.InvariantViolation;
 
 /** Evacuates one zone and brings it back, again and again. */
-final class EvacuationOperator {
+public final class EvacuationOperator {
     private static final long LONGEST_THOUGHT_US = 1_500_000;
 
     private final String zone;
@@ -12,7 +17,7 @@
     private final RandomStream random;
     private final EvacuationHistory history;
 
-    EvacuationOperator(
+    public EvacuationOperator(
             String zone,
             RetryingClient callers,
             EventQueue agenda,
@@ -25,7 +30,7 @@
         this.history = history;
     }
 
-    void start() {
+    public void start() {
         order(true);
     }
 
--- a/simulation/src/main/java/martenloom/simulation/LeaseCandidate.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/LeaseCandidate.java
@@ -1,9 +1,13 @@
-package martenloom.simulation;
+package martenloom.simulation.workload;
 
 import java.util.Optional;
+import martenloom.simulation.cluster.SimulatedMember;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.LeaseHistory;
 
 /** One of several edges that want the same lease, each from its own home among the members. */
-final class LeaseCandidate {
+public final class LeaseCandidate {
     private static final long WISH_US = 400_000;
     private static final int WISHES_IN_A_ROW = 15;
     private static final long LONGEST_SILENCE_US = 5_000_000;
@@ -19,7 +23,7 @@
     private String home = "";
     private long heardUs;
 
-    LeaseCandidate(
+    public LeaseCandidate(
             String key,
             String holder,
             EventQueue agenda,
@@ -34,7 +38,7 @@
         this.history = history;
     }
 
-    void start() {
+    public void start() {
         agenda.after(random.between(0, WISH_US), this::wish);
     }
 
--- a/simulation/src/main/java/martenloom/simulation/RetryingClient.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/RetryingClient.java
@@ -1,16 +1,19 @@
-package martenloom.simulation;
+package martenloom.simulation.workload;
 
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
 import martenloom.core.state.ClusterState;
+import martenloom.simulation.cluster.SimulatedMember;
+import martenloom.simulation.engine.EventQueue;
+import martenloom.simulation.engine.RandomStream;
 
 /**
  * The way of a caller to the machines: a call goes to any of them, and after a refusal or a silence
  * the same call goes to another one, with a pause that grows, while the copies sent before are
  * still under way.
  */
-final class RetryingClient {
+public final class RetryingClient {
     private static final long SILENCE_US = 1_000_000;
     private static final long FIRST_PAUSE_US = 100_000;
     private static final long LONGEST_PAUSE_US = 800_000;
@@ -21,7 +24,7 @@
     private static final int MOST_TRIES = 12;
 
     /** What a call came to. */
-    record Answer(int status, String text) {
+    public record Answer(int status, String text) {
         boolean clear() {
             return status == 200 || status >= 400 && status < 500;
         }
@@ -33,24 +36,24 @@
     private boolean lossy;
 
     /** Finds machines and the processes on them. */
-    interface Directory {
+    public interface Directory {
         List<String> addresses();
 
         Optional<SimulatedMember> running(String address);
     }
 
-    RetryingClient(EventQueue agenda, RandomStream random, Directory machines) {
+    public RetryingClient(EventQueue agenda, RandomStream random, Directory machines) {
         this.agenda = agenda;
         this.random = random;
         this.machines = machines;
     }
 
-    void setLossy(boolean lossy) {
+    public void setLossy(boolean lossy) {
         this.lossy = lossy;
     }
 
     /** Calls until there is a clear answer; an empty one when the caller gives up. */
-    void call(ClusterState.Change change, Consumer<Optional<Answer>> done) {
+    public void call(ClusterState.Change change, Consumer<Optional<Answer>> done) {
         new Call(change, done).attempt(1);
     }
 
--- a/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
+++ b/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
@@ -6,6 +6,11 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.IntStream;
+import martenloom.simulation.history.Invariant;
+import martenloom.simulation.history.InvariantViolation;
+import martenloom.simulation.schedule.FaultKind;
+import martenloom.simulation.schedule.FaultSchedule;
+import martenloom.simulation.schedule.ScheduledFault;
 import org.junit.jupiter.api.Test;
 
 /** A failing schedule becomes as short as the fault allows. */
--- a/simulation/src/test/java/martenloom/simulation/SimulationTest.java
+++ b/simulation/src/test/java/martenloom/simulation/SimulationTest.java
@@ -8,6 +8,8 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import martenloom.simulation.schedule.FaultKind;
+import martenloom.simulation.schedule.FaultSchedule;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/simulation/src/test/java/martenloom/simulation/HistoriesTest.java
+++ b/simulation/src/test/java/martenloom/simulation/history/HistoriesTest.java
@@ -1,4 +1,4 @@
-package martenloom.simulation;
+package martenloom.simulation.history;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
