--- a/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
+++ b/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
@@ -8,11 +8,12 @@
 
 /**
  * Makes a schedule that breaks an invariant shorter: leaves out halves, quarters and so on down to
- * single troubles, as long as the same invariant stays broken. Everything that is not a trouble is
- * drawn from the same seed.
+ * single faults, as long as the same invariant stays broken. Everything that is not a scheduled
+ * fault is drawn from the same seed. Made for one use.
  */
 public final class ScheduleShrinker {
     private static final int MOST_RUNS = 200;
+
     private final Function<FaultSchedule, DayResult> runner;
     private int runs;
 
@@ -24,7 +25,7 @@
     /** The shortest failing day that was found. */
     public DayResult shrink(DayResult failing) {
         var best = failing;
-        var size = Math.max(1, failing.schedule().troubles().size() / 2);
+        var size = Math.max(1, failing.schedule().faults().size() / 2);
         while (runs < MOST_RUNS) {
             var shorter = without(best, size);
             if (shorter != best) {
@@ -39,20 +40,20 @@
     }
 
     /**
-     * The first failing day with one run of so many neighbouring troubles left out; the same day if
+     * The first failing day with one run of so many neighbouring faults left out; the same day if
      * there is none.
      */
-    private DayResult without(DayResult day, int size) {
-        var troubles = day.schedule().troubles();
-        for (var from = 0; from < troubles.size() && runs < MOST_RUNS; from += size) {
-            var kept = new ArrayList<>(troubles.subList(0, from));
-            kept.addAll(troubles.subList(Math.min(troubles.size(), from + size), troubles.size()));
-            var shorter = run(day.schedule(), kept);
-            if (sameFault(day, shorter)) {
+    private DayResult without(DayResult failing, int size) {
+        var faults = failing.schedule().faults();
+        for (var from = 0; from < faults.size() && runs < MOST_RUNS; from += size) {
+            var kept = new ArrayList<>(faults.subList(0, from));
+            kept.addAll(faults.subList(Math.min(faults.size(), from + size), faults.size()));
+            var shorter = run(failing.schedule(), kept);
+            if (isSameViolation(failing, shorter)) {
                 return shorter;
             }
         }
-        return day;
+        return failing;
     }
 
     private DayResult run(FaultSchedule schedule, List<ScheduledFault> kept) {
@@ -60,8 +61,8 @@
         return runner.apply(schedule.with(kept));
     }
 
-    private static boolean sameFault(DayResult a, DayResult b) {
-        return b.violation().isPresent()
-                && b.violation().get().invariant() == a.violation().get().invariant();
+    private static boolean isSameViolation(DayResult failing, DayResult other) {
+        return other.violation().isPresent()
+                && other.violation().get().invariant() == failing.violation().get().invariant();
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/Simulation.java
+++ b/simulation/src/main/java/martenloom/simulation/Simulation.java
@@ -7,20 +7,22 @@
 import java.util.Optional;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import martenloom.simulation.history.InvariantViolation;
 import martenloom.simulation.schedule.FaultKind;
 import martenloom.simulation.schedule.FaultSchedule;
 
 /**
  * Runs days of drawn schedules one after the other, and prints progress, a summary, and a shrunk
- * schedule on a violation.
+ * schedule on a violation. Made for one use.
  */
 public final class Simulation {
     /** Enough for any day of a schedule that is drawn here. */
     public static final long MOST_STEPS = 5_000_000;
 
-    private static final int PROGRESS_EVERY = 50;
+    private static final int PROGRESS_EVERY_DAYS = 50;
+    private static final int PERCENT = 100;
 
-    /** What daemons log when something goes wrong: here that is brought about on purpose. */
+    /** The log of the code under test, which here meets faults that are injected on purpose. */
     private static final Logger LOG = Logger.getLogger("martenloom");
 
     /**
@@ -28,17 +30,21 @@
      *
      * @param seed the seed of the first day; each next day has the next seed
      * @param days how many days
-     * @param members how many machines count
-     * @param steps the most steps of a day
-     * @param kinds the kinds of trouble to draw from
+     * @param members how many members the cluster has
+     * @param steps the most events of a day
+     * @param kinds the kinds of fault to draw from
      */
     public record Options(long seed, int days, int members, long steps, List<FaultKind> kinds) {}
 
     private final Options options;
     private final PrintStream out;
-    private final Map<FaultKind, Integer> broughtAbout = new EnumMap<>(FaultKind.class);
+
+    /** For each kind: on how many days it was injected. */
+    private final Map<FaultKind, Integer> daysByKind = new EnumMap<>(FaultKind.class);
+
     private long steps;
 
+    /** A simulation that prints to the given stream. */
     public Simulation(Options options, PrintStream out) {
         this.options = options;
         this.out = out;
@@ -56,50 +62,53 @@
     }
 
     private Optional<DayResult> runDays() {
-        for (var i = 0; i < options.days; i++) {
-            var schedule = FaultSchedule.draw(options.seed + i, options.members, options.kinds);
-            var day = DayResult.run(schedule, options.steps);
+        for (var days = 1; days <= options.days; days++) {
+            var seed = options.seed + days - 1;
+            var day = run(FaultSchedule.draw(seed, options.members, options.kinds));
             count(day);
             if (day.violation().isPresent()) {
-                return Optional.of(report(day, i + 1));
+                return Optional.of(report(day, day.violation().get(), days));
             }
-            if ((i + 1) % PROGRESS_EVERY == 0) {
-                out.printf("%d of %d days, %d steps%n", i + 1, options.days, steps);
+            if (days % PROGRESS_EVERY_DAYS == 0) {
+                out.printf("%d of %d days, %d steps%n", days, options.days, steps);
             }
         }
-        summary(options.days);
+        printSummary(options.days);
         return Optional.empty();
     }
 
+    private DayResult run(FaultSchedule schedule) {
+        return SimulatedDay.run(schedule, options.steps);
+    }
+
     private void count(DayResult day) {
         steps += day.steps();
-        day.broughtAbout().forEach(k -> broughtAbout.merge(k, 1, Integer::sum));
+        day.injectedKinds().forEach(kind -> daysByKind.merge(kind, 1, Integer::sum));
     }
 
-    private DayResult report(DayResult day, int days) {
+    private DayResult report(DayResult day, InvariantViolation violation, int days) {
         out.printf(
                 "day %d of seed %d with %d members breaks an invariant%n",
                 days, day.schedule().seed(), options.members);
-        out.println(day.violation().get().getMessage());
-        var shrunk = new ScheduleShrinker(s -> DayResult.run(s, options.steps)).shrink(day);
+        out.println(violation.getMessage());
+        var shrunk = new ScheduleShrinker(this::run).shrink(day);
         out.printf(
-                "shrunk from %d to %d troubles:%n%s%n",
-                day.schedule().troubles().size(),
-                shrunk.schedule().troubles().size(),
+                "shrunk from %d to %d faults:%n%s%n",
+                day.schedule().faults().size(),
+                shrunk.schedule().faults().size(),
                 shrunk.schedule());
-        out.println(shrunk.violation().get().getMessage());
-        summary(days);
+        out.println(shrunk.violation().orElse(violation).getMessage());
+        printSummary(days);
         return shrunk;
     }
 
-    private void summary(int days) {
+    private void printSummary(int days) {
         out.printf(
-                "%d days of %d members, %d steps; share of days with each kind of trouble:%n",
+                "%d days of %d members, %d steps; share of days with each kind of fault:%n",
                 days, options.members, steps);
         for (var kind : options.kinds) {
-            out.printf(
-                    "  %-20s %3d %%%n",
-                    kind.word(), 100 * broughtAbout.getOrDefault(kind, 0) / Math.max(1, days));
+            var share = PERCENT * daysByKind.getOrDefault(kind, 0) / Math.max(1, days);
+            out.printf("  %-20s %3d %%%n", kind.word(), share);
         }
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
@@ -7,75 +7,89 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
-import martenloom.core.chain.ChainMember;
 import martenloom.core.state.ClusterState;
-import martenloom.simulation.network.SimulatedNetwork;
+import martenloom.simulation.history.CommandReply;
+import martenloom.simulation.network.SimulatedConnection;
 
 /**
- * The way of an order from the member that a caller reached to the head of the chain, and of the
- * answer back, as the core daemon does it.
+ * Carries commands from the member that a client reached to the head of the chain, and the replies
+ * back. It repeats what the core daemon's class of this name does, since that one is built on the
+ * event loop, the sockets of the peer links and the daemon's settings, none of which exist here;
+ * the matching of requests and responses is the daemon's own {@link PendingRequests}.
  */
-public final class CommandForwarder {
-    private static final long PATIENCE_US = 2_500_000;
+final class CommandForwarder {
+    private static final long RESPONSE_TIMEOUT_US = 2_500_000;
 
-    private final SimulatedMember process;
-    private final Map<Long, ReplyCallback> local = new HashMap<>();
-    private final PendingRequests<SimulatedNetwork.Connection> remote;
-    private long lastLocal;
+    private final SimulatedMember member;
+    private final Map<Long, ReplyCallback> localRequests = new HashMap<>();
+    private final PendingRequests<SimulatedConnection> remoteRequests;
+    private long lastLocalId;
 
-    public CommandForwarder(SimulatedMember process, long life) {
-        this.process = process;
-        remote = new PendingRequests<>(life);
+    /**
+     * @param incarnation tells the requests of this run from those of an earlier one
+     */
+    CommandForwarder(SimulatedMember member, long incarnation) {
+        this.member = member;
+        remoteRequests = new PendingRequests<>(incarnation);
     }
 
-    public void forward(ClusterState.Change change, ReplyCallback reply) {
-        var chain = process.chain();
+    /** Hands a command to the head, wherever it is. */
+    void forward(ClusterState.Change command, ReplyCallback callback) {
+        var chain = member.chain();
         if (chain.heading()) {
-            askHere(change, reply);
+            submitHere(command, callback);
             return;
         }
-        var head = process.connection(chain.head());
-        if (head.isEmpty() || !chain.fresh(process.nowUs())) {
-            reply.accept(ReplyCallback.UNAVAILABLE, "no head is known");
+        var head = member.connection(chain.head());
+        if (head.isEmpty() || !chain.fresh(member.nowUs())) {
+            callback.onReply(CommandReply.unavailable("no head is known"));
             return;
         }
-        var id = remote.open(head.get(), reply::accept);
+        var id =
+                remoteRequests.open(
+                        head.get(),
+                        (status, text) -> callback.onReply(new CommandReply(status, text)));
         var record = new RecordWriter(RecordType.ORDER_REQUEST);
         id.write(record);
-        change.write(record);
+        command.write(record);
         head.get().send(record.bytes());
-        process.after(PATIENCE_US, () -> remote.expire(id, "no answer from the head"));
+        member.after(
+                RESPONSE_TIMEOUT_US, () -> remoteRequests.expire(id, "no answer from the head"));
     }
 
-    /** Hands an order to the chain of this member. */
-    public void askHere(ClusterState.Change change, ReplyCallback reply) {
-        var id = ++lastLocal;
-        local.put(id, reply);
-        process.chain().onAsk(process.nowUs(), id, change);
+    /** Hands a command to the chain of this member. */
+    void submitHere(ClusterState.Change command, ReplyCallback callback) {
+        var id = ++lastLocalId;
+        localRequests.put(id, callback);
+        member.chain().onAsk(member.nowUs(), id, command);
     }
 
-    public void onChainAnswer(ChainMember.Answer answer) {
-        Optional.ofNullable(local.remove(answer.request()))
-                .ifPresent(r -> r.accept(answer.status(), answer.text()));
+    /** The chain's reply to a command that was handed to it here. */
+    void onCompleted(long id, CommandReply reply) {
+        Optional.ofNullable(localRequests.remove(id))
+                .ifPresent(callback -> callback.onReply(reply));
     }
 
-    public void onClosed(SimulatedNetwork.Connection connection) {
-        remote.closed(connection, "the link closed before an answer");
+    void onClosed(SimulatedConnection connection) {
+        remoteRequests.closed(connection, "the link closed before an answer");
     }
 
-    public void onAsk(SimulatedNetwork.Connection by, RecordReader in) {
+    /** A command that another member forwards to this one. */
+    void onRequest(SimulatedConnection connection, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        askHere(ClusterState.Change.read(in), (status, text) -> answer(by, id, status, text));
+        submitHere(ClusterState.Change.read(in), reply -> respond(connection, id, reply));
     }
 
-    private static void answer(
-            SimulatedNetwork.Connection by, PendingRequests.RequestId id, int status, String text) {
+    private static void respond(
+            SimulatedConnection connection, PendingRequests.RequestId id, CommandReply reply) {
         var record = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(record);
-        by.answer(record.i32(status).text(text).bytes());
+        connection.answer(record.i32(reply.status()).text(reply.text()).bytes());
     }
 
-    public void onAnswer(SimulatedNetwork.Connection by, RecordReader in) {
-        remote.answered(PendingRequests.RequestId.read(in), by, in.i32(), in.text());
+    /** The head's response to a command that was forwarded from here. */
+    void onResponse(SimulatedConnection connection, RecordReader in) {
+        remoteRequests.answered(
+                PendingRequests.RequestId.read(in), connection, in.i32(), in.text());
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
@@ -7,70 +7,90 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.core.lease.RoleLeaseService;
-import martenloom.simulation.network.SimulatedNetwork;
+import martenloom.simulation.network.SimulatedConnection;
 
 /**
- * The way of a candidate's wish for a lease from its home to the head of the chain, and of the
- * grant back, as the core daemon does it.
+ * Carries candidates' requests for a lease from their home to the head of the chain, and the grants
+ * back. It repeats what the core daemon does on its peer links, which need sockets and an event
+ * loop; who is granted what is decided by the daemon's own {@link RoleLeaseService}.
  */
-public final class LeaseForwarder {
-    private static final long OTHERS_EVERY_US = 350_000;
+final class LeaseForwarder {
+    /** Requests of candidates that do not hold the lease are forwarded no more often than this. */
+    private static final long CHALLENGE_INTERVAL_US = 350_000;
 
-    /** Takes a grant that reached the home of a candidate. */
-    @FunctionalInterface
-    public interface Grantee {
-        void granted(long grant, long stampUs);
-    }
+    private final SimulatedMember member;
+    private final RoleLeaseService leases;
+    private final Map<String, LeaseGrantCallback> callbacksByCandidate = new HashMap<>();
 
-    private final SimulatedMember process;
-    private final RoleLeaseService duties;
-    private final Map<String, Grantee> grantees = new HashMap<>();
-    private final Map<String, Long> passedOnUs = new HashMap<>();
+    /** For each role: when the request of a candidate other than the holder was last forwarded. */
+    private final Map<String, Long> challengedAtUs = new HashMap<>();
 
-    public LeaseForwarder(SimulatedMember process, RoleLeaseService duties) {
-        this.process = process;
-        this.duties = duties;
+    LeaseForwarder(SimulatedMember member, RoleLeaseService leases) {
+        this.member = member;
+        this.leases = leases;
     }
 
-    /**
-     * A candidate wants a lease; its holder's wishes are always passed on, others' now and then.
-     */
-    public void want(String key, String holder, long stampUs, Grantee grantee) {
-        grantees.put(holder, grantee);
-        var held = Optional.ofNullable(process.chain().committed().duties.get(key));
-        if (held.isEmpty() || !held.get().holder.equals(holder)) {
-            if (process.nowUs() - passedOnUs.getOrDefault(key, 0L) < OTHERS_EVERY_US) {
+    /** Takes a request; the holder's are always forwarded, others' now and then. */
+    void request(LeaseRequest request, LeaseGrantCallback callback) {
+        var role = request.role();
+        callbacksByCandidate.put(request.candidate(), callback);
+        if (!isHolder(request)) {
+            if (member.nowUs() - challengedAtUs.getOrDefault(role, 0L) < CHALLENGE_INTERVAL_US) {
                 return;
             }
-            passedOnUs.put(key, process.nowUs());
+            challengedAtUs.put(role, member.nowUs());
         }
-        if (process.chain().heading()) {
-            duties.want(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
+        forward(request);
+    }
+
+    private boolean isHolder(LeaseRequest request) {
+        return Optional.ofNullable(member.chain().committed().duties.get(request.role()))
+                .filter(lease -> lease.holder.equals(request.candidate()))
+                .isPresent();
+    }
+
+    private void forward(LeaseRequest request) {
+        if (member.chain().heading()) {
+            leases.want(
+                    request.role(),
+                    request.candidate(),
+                    request.requestedAtUs(),
+                    record -> deliver(new RecordReader(record, true)));
             return;
         }
-        var record = new RecordWriter(RecordType.LEASE_REQUEST).text(key).text(holder).i64(stampUs);
-        process.connection(process.chain().head()).ifPresent(c -> c.send(record.bytes()));
+        var record =
+                new RecordWriter(RecordType.LEASE_REQUEST)
+                        .text(request.role())
+                        .text(request.candidate())
+                        .i64(request.requestedAtUs());
+        member.connection(member.chain().head())
+                .ifPresent(connection -> connection.send(record.bytes()));
     }
 
-    public void onWant(SimulatedNetwork.Connection by, RecordReader in) {
-        duties.want(in.text(), in.text(), in.i64(), by::answer);
+    /** A request that another member forwards to this one. */
+    void onRequest(SimulatedConnection connection, RecordReader in) {
+        leases.want(in.text(), in.text(), in.i64(), connection::answer);
     }
 
-    /** A grant counts only when it comes from the head and no newer one is known. */
-    public void onGrant(SimulatedNetwork.Connection by, RecordReader in) {
-        var ofHead = process.connection(process.chain().head()).filter(c -> c == by).isPresent();
-        if (ofHead) {
-            grant(in);
+    /** A grant counts only when it comes from the present head and no newer one is known. */
+    void onGrant(SimulatedConnection connection, RecordReader in) {
+        var fromHead =
+                member.connection(member.chain().head())
+                        .filter(toHead -> toHead == connection)
+                        .isPresent();
+        if (fromHead) {
+            deliver(in);
         }
     }
 
-    private void grant(RecordReader in) {
-        var holder = in.text();
-        var key = in.text();
-        var grant = in.i64();
-        var stampUs = in.i64();
-        if (!process.chain().committed().overtaken(key, grant)) {
-            Optional.ofNullable(grantees.get(holder)).ifPresent(g -> g.granted(grant, stampUs));
+    private void deliver(RecordReader in) {
+        var candidate = in.text();
+        var role = in.text();
+        var fencingToken = in.i64();
+        var requestedAtUs = in.i64();
+        if (!member.chain().committed().overtaken(role, fencingToken)) {
+            Optional.ofNullable(callbacksByCandidate.get(candidate))
+                    .ifPresent(callback -> callback.onGranted(fencingToken, requestedAtUs));
         }
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/MemberEnvironment.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/MemberEnvironment.java
@@ -6,19 +6,20 @@
 import martenloom.simulation.history.InvariantChecker;
 import martenloom.simulation.network.SimulatedNetwork;
 
-/** What a simulated process is given from outside. */
-public interface MemberEnvironment {
-    EventQueue agenda();
+/** What a simulated member is given from outside. */
+interface MemberEnvironment {
+    EventQueue events();
 
     SimulatedNetwork network();
 
-    RandomStream disks();
+    /** The random choices of machines, disks and processes. */
+    RandomStream random();
 
     InvariantChecker invariants();
 
-    /** Addresses that the settings file of a starting machine names. */
-    List<String> seeds();
+    /** The addresses that the settings file of a starting machine names. */
+    List<String> seedAddresses();
 
-    /** The fewest members that bear what is to be borne. */
-    int leastRoster();
+    /** The size below which the roster must not shrink. */
+    int minimumRosterSize();
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/ReplyCallback.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/ReplyCallback.java
@@ -1,10 +1,9 @@
 package martenloom.simulation.cluster;
 
-/** Takes what an order came to: a status as of HTTP, and a text. */
+import martenloom.simulation.history.CommandReply;
+
+/** Is called once with the reply to a command. */
 @FunctionalInterface
 public interface ReplyCallback {
-    /** The outcome is not known, or nothing was done: the caller may call again. */
-    int UNAVAILABLE = 503;
-
-    void accept(int status, String text);
+    void onReply(CommandReply reply);
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedCluster.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedCluster.java
@@ -1,348 +1,144 @@
 package martenloom.simulation.cluster;
 
 import java.util.ArrayList;
-import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import martenloom.simulation.engine.EventQueue;
 import martenloom.simulation.engine.RandomStream;
-import martenloom.simulation.faults.FaultInjector;
-import martenloom.simulation.history.Invariant;
 import martenloom.simulation.history.InvariantChecker;
-import martenloom.simulation.history.InvariantViolation;
 import martenloom.simulation.network.SimulatedNetwork;
-import martenloom.simulation.schedule.FaultKind;
-import martenloom.simulation.schedule.FaultSchedule;
-import martenloom.simulation.schedule.ScheduledFault;
-import martenloom.simulation.workload.ConfigurationOperator;
-import martenloom.simulation.workload.ConfigurationReader;
-import martenloom.simulation.workload.EvacuationOperator;
-import martenloom.simulation.workload.LeaseCandidate;
-import martenloom.simulation.workload.RetryingClient;
 
-/** One simulated day: machines, network, callers, and the troubles of its schedule. */
-public final class SimulatedCluster
-        implements MemberEnvironment, SimulatedNetwork.Machines, RetryingClient.Directory {
-    private static final long MONITOR_US = 100_000;
-    private static final long WARM_UP_US = 60_000_000;
-
-    /**
-     * Once it is calm for so long, a configuration must have been acknowledged, and every member
-     * must be level.
-     */
-    public static final long CALM_BOUND_US = 6_000_000;
-
-    /**
-     * A machine that lost its state counts as lost until it was calm for so long after its return.
-     */
-    private static final long CATCH_UP_US = 4_000_000;
-
-    private static final long LAG_US = 2_000_000;
+/**
+ * The machines of a cluster and the network between them. The cluster has a fixed number of slots,
+ * each filled by one machine; a machine that was replaced runs on outside of them until it is
+ * removed.
+ */
+public final class SimulatedCluster implements MemberEnvironment, MemberDirectory {
     private static final int FOUNDERS = 3;
-    private static final int LARGE = 9;
 
-    private final FaultSchedule schedule;
-    private final long mostSteps;
-    private final EventQueue agenda = new EventQueue();
-    private final InvariantChecker invariants = new InvariantChecker();
-    private final RandomStream disks;
+    /** From this size on two machines may lose their state at once. */
+    private static final int LARGE_CLUSTER = 9;
+
+    private final EventQueue events;
+    private final InvariantChecker invariants;
+    private final RandomStream random;
     private final SimulatedNetwork network;
-    private final RetryingClient callers;
     private final Map<String, SimulatedMachine> machines = new TreeMap<>();
-    private final List<String> slots = new ArrayList<>();
-    private final List<ConfigurationOperator> operators = new ArrayList<>();
-    private final Set<FaultKind> broughtAbout = EnumSet.noneOf(FaultKind.class);
-    private final FaultInjector troubles;
-    private final Set<String> lostState = new TreeSet<>();
-    private long calmSinceUs;
-    private long progressUs;
-    private int progressSeen;
-    private long newestBeforeLag;
-    private long newestAtMark;
-    private long markUs;
-    private long steps;
-    private int replacements;
 
-    public SimulatedCluster(FaultSchedule schedule, long mostSteps) {
-        this.schedule = schedule;
-        this.mostSteps = mostSteps;
-        disks = RandomStream.of(schedule.seed(), "disks");
-        network = new SimulatedNetwork(agenda, RandomStream.of(schedule.seed(), "network"), this);
-        callers = new RetryingClient(agenda, RandomStream.of(schedule.seed(), "callers"), this);
-        for (var i = 0; i < schedule.members(); i++) {
-            slots.add("10.0.0." + (i + 1));
-        }
-        slots.forEach(a -> machines.put(a, new SimulatedMachine(a, disks)));
-        troubles = new FaultInjector(this);
-    }
-
-    // ---- the day
+    /** The addresses of the machines in the slots. */
+    private final List<String> slots = new ArrayList<>();
 
-    public void run() {
-        machines.values().forEach(m -> m.start(this, true));
-        startCallers();
-        warmUp();
-        var beganUs = agenda.nowUs();
-        schedule.troubles().forEach(t -> agenda.at(beganUs + t.atMs() * 1000, () -> bringAbout(t)));
-        agenda.every(MONITOR_US, this::monitor);
-        runUntil(beganUs + schedule.endMs() * 1000 + 1);
-        troubles.healAll();
-        runUntil(agenda.nowUs() + 2 * CALM_BOUND_US);
-    }
+    private int replacements;
 
-    private void startCallers() {
-        var configurations = invariants.configurations();
-        for (var name : List.of("a", "b")) {
-            operators.add(
-                    new ConfigurationOperator(
-                            name,
-                            callers,
-                            agenda,
-                            RandomStream.of(schedule.seed(), "operator " + name),
-                            configurations));
-        }
-        operators.forEach(ConfigurationOperator::start);
-        for (var name : List.of("c", "d")) {
-            var random = RandomStream.of(schedule.seed(), "reader " + name);
-            new ConfigurationReader(callers, agenda, random, configurations).start();
-        }
-        for (var zone : List.of("north-1", "south-1")) {
-            new EvacuationOperator(
-                            zone,
-                            callers,
-                            agenda,
-                            RandomStream.of(schedule.seed(), zone),
-                            invariants.evacuations())
-                    .start();
-        }
-        for (var holder : List.of("10.9.0.1#1", "10.9.0.2#1", "10.9.0.3#1")) {
-            new LeaseCandidate(
-                            "scale/north",
-                            holder,
-                            agenda,
-                            RandomStream.of(schedule.seed(), holder),
-                            this,
-                            invariants.leases())
-                    .start();
+    /** A cluster of machines with empty disks on which nothing runs yet. */
+    public SimulatedCluster(
+            long seed, int members, EventQueue events, InvariantChecker invariants) {
+        this.events = events;
+        this.invariants = invariants;
+        random = RandomStream.of(seed, "disks");
+        network =
+                new SimulatedNetwork(
+                        events,
+                        RandomStream.of(seed, "network"),
+                        address -> running(address).map(member -> member));
+        for (var i = 0; i < members; i++) {
+            var address = "10.0.0." + (i + 1);
+            slots.add(address);
+            machines.put(address, new SimulatedMachine(address, random));
         }
     }
 
-    /** The core grows to all its members before the first trouble. */
-    private void warmUp() {
-        while (!grown()) {
-            if (agenda.nowUs() > WARM_UP_US) {
-                throw new InvariantViolation(
-                        Invariant.PROGRESS,
-                        "the core has not grown to all its members in a minute");
-            }
-            step(Long.MAX_VALUE);
-        }
+    /** Starts all machines with empty disks; the founders found the chain. */
+    public void startAll() {
+        machines.values().forEach(machine -> machine.start(this, true));
     }
 
-    private boolean grown() {
+    /** Whether one member heads a chain of all members. */
+    public boolean isFullyGrown() {
         return machines.values().stream()
-                .flatMap(m -> m.process().stream())
-                .anyMatch(this::headsAll);
-    }
-
-    private boolean headsAll(SimulatedMember process) {
-        var chain = process.chain();
-        return chain.heading()
-                && chain.chain().size() == schedule.members()
-                && chain.committed().roster.size() == schedule.members();
+                .flatMap(machine -> machine.member().stream())
+                .anyMatch(member -> member.headsAll(slots.size()));
     }
 
-    private void runUntil(long timeUs) {
-        while (step(timeUs)) {
-            // Each step checks the invariants that it touches.
-        }
+    public boolean isFullyRunning() {
+        return slots.stream().allMatch(address -> running(address).isPresent());
     }
 
-    private boolean step(long timeUs) {
-        if (steps >= mostSteps) {
-            return false;
-        }
-        steps++;
-        return agenda.stepUntil(timeUs);
+    /** How many machines may have lost their state at once. */
+    public int toleratedLosses() {
+        return Math.min((slots.size() - 1) / 2, slots.size() >= LARGE_CLUSTER ? 2 : 1);
     }
 
-    private void bringAbout(ScheduledFault trouble) {
-        if (troubles.bringAbout(trouble)) {
-            broughtAbout.add(trouble.kind());
-            calmSinceUs = agenda.nowUs();
-        }
-    }
+    // ---- machines and members
 
-    public long steps() {
-        return steps;
+    @Override
+    public List<String> addresses() {
+        return slots;
     }
 
-    public Set<FaultKind> broughtAbout() {
-        return broughtAbout;
+    /** The machine at an address, unless it was removed. */
+    public Optional<SimulatedMachine> machine(String address) {
+        return Optional.ofNullable(machines.get(address));
     }
 
-    // ---- calm, and what it must bring
-
-    private void monitor() {
-        var now = agenda.nowUs();
-        var done = invariants.configurations().acknowledgements();
-        if (done != progressSeen) {
-            progressSeen = done;
-            progressUs = now;
-        }
-        if (now - markUs > LAG_US) {
-            newestBeforeLag = newestAtMark;
-            newestAtMark = invariants.newestEdition();
-            markUs = now;
-        }
-        if (!troubles.calm() || !allRunning()) {
-            calmSinceUs = now;
-            return;
-        }
-        if (now - calmSinceUs > CATCH_UP_US) {
-            lostState.clear();
-        }
-        if (now - calmSinceUs > CALM_BOUND_US) {
-            checkProgress(now);
-            checkLevel();
-        }
+    /** The member that runs at an address just now. */
+    public Optional<SimulatedMember> running(String address) {
+        return machine(address).flatMap(SimulatedMachine::member);
     }
 
-    private boolean allRunning() {
-        return slots.stream().allMatch(a -> running(a).isPresent());
+    @Override
+    public Optional<MemberApi> api(String address) {
+        return running(address).map(member -> member);
     }
 
-    private void checkProgress(long now) {
-        if (now - progressUs > CALM_BOUND_US) {
-            throw new InvariantViolation(
-                    Invariant.PROGRESS,
-                    "calm for "
-                            + (now - calmSinceUs) / 1000
-                            + " ms, and nothing was acknowledged for "
-                            + (now - progressUs) / 1000
-                            + " ms: "
-                            + describe());
-        }
+    /** The address of the first slot whose member takes itself for the head. */
+    public Optional<String> headAddress() {
+        return slots.stream().filter(this::isHead).findFirst();
     }
 
-    private void checkLevel() {
-        for (var address : slots) {
-            var edition = running(address).map(p -> p.chain().committed().edition).orElse(0L);
-            if (edition < newestBeforeLag) {
-                throw new InvariantViolation(
-                        Invariant.LEVEL,
-                        address
-                                + " is at edition "
-                                + edition
-                                + ", the core was at "
-                                + newestBeforeLag
-                                + " two seconds before: "
-                                + describe());
-            }
-        }
+    private boolean isHead(String address) {
+        return running(address).filter(member -> member.chain().heading()).isPresent();
     }
 
-    private String describe() {
+    /** The running members of the slots, one after the other in words. */
+    public String describe() {
         var text = new StringBuilder();
         slots.stream()
-                .flatMap(a -> running(a).stream())
-                .forEach(
-                        p ->
-                                text.append(p.address())
-                                        .append(' ')
-                                        .append(p.chain().mode())
-                                        .append(" view ")
-                                        .append(p.chain().view())
-                                        .append(" edition ")
-                                        .append(p.chain().committed().edition)
-                                        .append(" roster ")
-                                        .append(p.chain().memberState().state.roster)
-                                        .append("; "));
+                .flatMap(address -> running(address).stream())
+                .forEach(member -> text.append(member.describe()));
         return text.toString();
     }
 
-    // ---- losses that are to be borne
+    // ---- changes
 
-    /** How many machines may have lost their state at once. */
-    public int tolerated() {
-        return Math.min((schedule.members() - 1) / 2, schedule.members() >= LARGE ? 2 : 1);
+    /** Starts a member on a machine that is there and has none. */
+    public void startIfDown(String address) {
+        machine(address)
+                .filter(machine -> machine.member().isEmpty())
+                .ifPresent(machine -> machine.start(this, false));
     }
 
-    /** Counts a machine as lost; refuses when that is one more than is to be borne. */
-    public boolean loseState(String address) {
-        var others = lostState.stream().filter(a -> !a.equals(address)).count();
-        if (others >= tolerated()) {
-            return false;
-        }
-        lostState.add(address);
-        calmSinceUs = agenda.nowUs();
-        return true;
-    }
-
-    /** Counts a machine as lost that leaves in order, so that no other one is lost beside it. */
-    public void leaveInOrder(String address) {
-        lostState.add(address);
-        calmSinceUs = agenda.nowUs();
-    }
-
-    // ---- machines
-
-    public List<String> slots() {
-        return slots;
-    }
-
-    /** The machine of the present head, if it is one of those that count. */
-    public Optional<String> head() {
-        return slots.stream().filter(this::heads).findFirst();
-    }
-
-    private boolean heads(String address) {
-        return running(address).filter(p -> p.chain().heading()).isPresent();
-    }
-
-    public SimulatedMachine machine(String address) {
-        return machines.get(address);
-    }
-
-    public Optional<SimulatedMachine> machineIfPresent(String address) {
-        return Optional.ofNullable(machines.get(address));
-    }
-
-    /**
-     * A new machine takes the place of another among those that count; the other one runs on until
-     * it is removed.
-     */
-    public String replace(int slot) {
+    /** Fills a slot with a new machine, and starts it; the one before runs on outside. */
+    public void replace(int slot) {
         var address = "10.0.1." + ++replacements;
-        var machine = new SimulatedMachine(address, disks);
+        var machine = new SimulatedMachine(address, random);
         machines.put(address, machine);
         slots.set(slot, address);
         machine.start(this, false);
-        return address;
     }
 
-    /** A machine is gone for good, with its disk. */
+    /** Takes a machine away for good, with its disk. */
     public void remove(String address) {
         Optional.ofNullable(machines.remove(address)).ifPresent(SimulatedMachine::kill);
     }
 
-    public void storm(int operator, int count) {
-        operators.get(operator % operators.size()).storm(count);
-    }
-
-    public RetryingClient callers() {
-        return callers;
-    }
-
-    // ---- what processes, the network and callers see
+    // ---- what members are given
 
     @Override
-    public EventQueue agenda() {
-        return agenda;
+    public EventQueue events() {
+        return events;
     }
 
     @Override
@@ -351,8 +147,8 @@
     }
 
     @Override
-    public RandomStream disks() {
-        return disks;
+    public RandomStream random() {
+        return random;
     }
 
     @Override
@@ -361,32 +157,12 @@
     }
 
     @Override
-    public List<String> seeds() {
+    public List<String> seedAddresses() {
         return List.copyOf(slots.subList(0, FOUNDERS));
     }
 
     @Override
-    public int leastRoster() {
-        return 2 * tolerated() + 1;
-    }
-
-    @Override
-    public List<String> addresses() {
-        return slots;
-    }
-
-    @Override
-    public Optional<SimulatedMember> running(String address) {
-        return Optional.ofNullable(machines.get(address)).flatMap(SimulatedMachine::process);
-    }
-
-    @Override
-    public void connected(SimulatedMember dialer, String listener) {
-        dialer.whenAwake(listener, () -> dialer.onConnected(listener));
-    }
-
-    @Override
-    public void deliver(SimulatedMember to, SimulatedNetwork.Connection by, byte[] record) {
-        to.whenAwake(by, () -> to.onRecord(by, record));
+    public int minimumRosterSize() {
+        return 2 * toleratedLosses() + 1;
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMachine.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMachine.java
@@ -4,24 +4,26 @@
 import martenloom.simulation.disk.SimulatedDisk;
 import martenloom.simulation.engine.RandomStream;
 
-/** A machine that counts: its disk, and the process that runs on it. */
+/** A machine of the cluster: its disk, and the member that runs on it, if one does. */
 public final class SimulatedMachine {
-    private static final long QUICK_SYNC_US = 6_000;
+    private static final int SLOW_SYNC_ONE_IN = 60;
+    private static final long SHORTEST_SYNC_US = 300;
+    private static final long USUAL_SYNC_US = 6_000;
     private static final long SLOW_SYNC_US = 120_000;
 
     private final String address;
     private final RandomStream random;
     private final SimulatedDisk disk;
-    private Optional<SimulatedMember> process = Optional.empty();
-    private long stalledUntilUs;
+    private Optional<SimulatedMember> member = Optional.empty();
+    private long diskStalledUntilUs;
 
-    public SimulatedMachine(String address, RandomStream random) {
+    SimulatedMachine(String address, RandomStream random) {
         this.address = address;
         this.random = random;
         disk = new SimulatedDisk(random);
     }
 
-    public String address() {
+    String address() {
         return address;
     }
 
@@ -29,35 +31,38 @@
         return disk;
     }
 
-    public Optional<SimulatedMember> process() {
-        return process;
+    /** The member that runs on the machine. */
+    public Optional<SimulatedMember> member() {
+        return member;
     }
 
-    public void start(MemberEnvironment environment, boolean bootstrap) {
-        disk.restart();
-        process = Optional.of(new SimulatedMember(this, environment, bootstrap));
+    /** Starts a member on the disk as it is. */
+    void start(MemberEnvironment environment, boolean bootstrap) {
+        disk.onProcessStart();
+        member = Optional.of(new SimulatedMember(this, environment, bootstrap));
     }
 
-    /** Ends the process; tells whether there was one. */
+    /** Ends the member at once; tells whether one was running. */
     public boolean kill() {
-        var was = process;
-        process = Optional.empty();
-        was.ifPresent(p -> p.end(random));
-        return was.isPresent();
+        var killed = member;
+        member = Optional.empty();
+        killed.ifPresent(running -> running.end(random));
+        return killed.isPresent();
     }
 
-    public void stall(long untilUs) {
-        stalledUntilUs = Math.max(stalledUntilUs, untilUs);
+    /** Lets no write finish before the given time. */
+    public void stallDisk(long untilUs) {
+        diskStalledUntilUs = Math.max(diskStalledUntilUs, untilUs);
     }
 
-    public long stalledUntilUs() {
-        return stalledUntilUs;
+    long diskStalledUntilUs() {
+        return diskStalledUntilUs;
     }
 
     /** How long the next write takes. */
-    public long syncUs() {
-        return random.oneIn(60)
-                ? random.between(QUICK_SYNC_US, SLOW_SYNC_US)
-                : random.between(300, QUICK_SYNC_US);
+    long drawSyncUs() {
+        return random.oneIn(SLOW_SYNC_ONE_IN)
+                ? random.between(USUAL_SYNC_US, SLOW_SYNC_US)
+                : random.between(SHORTEST_SYNC_US, USUAL_SYNC_US);
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
@@ -1,351 +1,278 @@
 package martenloom.simulation.cluster;
 
-import java.util.ArrayDeque;
 import java.util.Comparator;
-import java.util.Deque;
-import java.util.IdentityHashMap;
-import java.util.Map;
+import java.util.List;
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
-import martenloom.common.error.MartenloomException;
 import martenloom.common.fleet.RecordType;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
-import martenloom.simulation.disk.SimulatedDisk;
 import martenloom.simulation.engine.RandomStream;
-import martenloom.simulation.network.SimulatedNetwork;
+import martenloom.simulation.history.CommandReply;
+import martenloom.simulation.network.NetworkEndpoint;
+import martenloom.simulation.network.SimulatedConnection;
 
 /**
- * One life of a core member: the chain, the store and the hand-over of orders, with the simulated
- * world around them.
+ * One run of a core member's process: the daemon's chain, store and lease service, surrounded by
+ * the simulated network, disk and clock. It begins with the constructor and ends with {@link #end};
+ * a restart makes another object.
  */
-public final class SimulatedMember {
+public final class SimulatedMember implements NetworkEndpoint, MemberApi {
     private static final long TICK_US = 50_000;
-    private static final long LATE_US = 5_000;
     private static final long HELLO_US = 500_000;
 
-    /** As the core daemon has it with a grace period of 8 s. */
-    private static final long LEAVE_URGENT_US = 3_600_000;
-
-    private static final long LEAVE_AGAIN_US = 200_000;
-    private static final long DISK_RETRY_US = 100_000;
-    private static final long API_PATIENCE_US = 850_000;
-    private static final long API_PAUSE_US = 60_000;
-    private static final int MOST_DISK_STEPS = 12;
-
-    private final SimulatedMachine machine;
+    private final String address;
     private final MemberEnvironment environment;
-    private final VersionedStore disk;
+    private final SimulatedProcess process;
     private final ChainMember chain;
-    private final CommandForwarder orders;
+    private final StateWriter writer;
+    private final CommandForwarder forwarder;
+    private final CommandApi commands;
+    private final RoleLeaseService leaseService;
     private final LeaseForwarder leases;
-    private final RoleLeaseService duties;
-    private final Set<String> dials = new TreeSet<>();
-    private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
-    private final Map<Object, Long> readyAtUs = new IdentityHashMap<>();
+    private final GracefulShutdown shutdown;
+
+    /** The members that this one keeps connections to. */
+    private final Set<String> peers = new TreeSet<>();
+
     private final long startedUs;
-    private boolean running = true;
-    private boolean leaving;
-    private boolean leaveTaken;
-    private long leaveSinceUs;
-    private long frozenUntilUs;
-
-    public SimulatedMember(
-            SimulatedMachine machine, MemberEnvironment environment, boolean bootstrap) {
-        this.machine = machine;
+
+    /**
+     * @param bootstrap whether a founder with an empty disk founds the chain
+     */
+    SimulatedMember(SimulatedMachine machine, MemberEnvironment environment, boolean bootstrap) {
+        address = machine.address();
         this.environment = environment;
         startedUs = nowUs();
-        disk = new VersionedStore(machine.disk());
-        var seeds = environment.seeds();
-        var kept = disk.load().map(ChainMember.MemberState::of);
-        if (kept.isEmpty() && bootstrap && seeds.contains(address())) {
-            kept =
-                    Optional.of(
-                            new ChainMember.MemberState(
-                                    ChainMember.Ballot.ZERO,
-                                    ChainMember.Ballot.ZERO,
-                                    ClusterState.founded(seeds)));
-            disk.keep(kept.get().bytes());
+        var random = environment.random();
+        process = new SimulatedProcess(environment.events(), random, this::carryOutEffects);
+        var store = new VersionedStore(machine.disk());
+        var seeds = environment.seedAddresses();
+        var persisted = store.load().map(ChainMember.MemberState::of);
+        if (persisted.isEmpty() && bootstrap && seeds.contains(address)) {
+            persisted = Optional.of(foundingState(seeds));
+            store.keep(persisted.get().bytes());
         }
         chain =
                 new ChainMember(
-                        address(),
-                        environment.disks().any(),
-                        kept,
-                        Comparator.naturalOrder(),
-                        nowUs());
-        orders = new CommandForwarder(this, environment.disks().any());
-        duties =
+                        address, random.any(), persisted, Comparator.naturalOrder(), nowUs());
+        writer = new StateWriter(machine, environment.events(), store, this::onPersisted);
+        forwarder = new CommandForwarder(this, random.any());
+        commands = new CommandApi(this, forwarder);
+        leaseService =
                 new RoleLeaseService(
                         chain,
-                        (change, reply) -> orders.askHere(change, reply::accept),
+                        (command, reply) ->
+                                forwarder.submitHere(
+                                        command, done -> reply.accept(done.status(), done.text())),
                         this::nowUs);
-        leases = new LeaseForwarder(this, duties);
-        chain.onLeastRoster(environment.leastRoster());
-        kept.ifPresent(k -> k.state.roster.forEach(this::dial));
-        seeds.forEach(this::dial);
-        after(environment.disks().between(0, TICK_US), this::tick);
-        after(environment.disks().between(0, HELLO_US), this::hello);
+        leases = new LeaseForwarder(this, leaseService);
+        shutdown = new GracefulShutdown(this, forwarder);
+        chain.onLeastRoster(environment.minimumRosterSize());
+        persisted.ifPresent(found -> found.state.roster.forEach(this::addPeer));
+        seeds.forEach(this::addPeer);
+        after(random.between(0, TICK_US), this::tick);
+        after(random.between(0, HELLO_US), this::sayHello);
     }
 
+    private static ChainMember.MemberState foundingState(List<String> founders) {
+        return new ChainMember.MemberState(
+                ChainMember.Ballot.ZERO, ChainMember.Ballot.ZERO, ClusterState.founded(founders));
+    }
+
+    @Override
     public String address() {
-        return machine.address();
+        return address;
     }
 
+    /** The code under test. */
     public ChainMember chain() {
         return chain;
     }
 
-    public long nowUs() {
-        return environment.agenda().nowUs();
+    long nowUs() {
+        return environment.events().nowUs();
     }
 
-    public long startedUs() {
-        return startedUs;
+    /** Whether this member heads a chain of all members of a cluster of the given size. */
+    public boolean headsAll(int members) {
+        return chain.heading()
+                && chain.chain().size() == members
+                && chain.committed().roster.size() == members;
     }
 
-    public boolean frozen() {
-        return nowUs() < frozenUntilUs;
+    /** The edition that this member has committed last. */
+    public long committedEdition() {
+        return chain.committed().edition;
     }
 
-    public void freeze(long us) {
-        frozenUntilUs = Math.max(frozenUntilUs, nowUs() + us);
+    /** The state of the chain in one line, for the report of a violation. */
+    public String describe() {
+        return address
+                + " "
+                + chain.mode()
+                + " view "
+                + chain.view()
+                + " edition "
+                + committedEdition()
+                + " roster "
+                + chain.memberState().state.roster
+                + "; ";
     }
 
-    // ---- what reaches the process
+    // ---- the process
 
-    /**
-     * Runs an action in this life, once the process is awake. What comes from one source, such as a
-     * connection, keeps its order; after a pause the process gets to its sources in any order.
-     */
-    public void whenAwake(Object source, Runnable action) {
-        if (!running) {
-            return;
-        }
-        var readyUs = readyUs(source);
-        if (readyUs > nowUs()) {
-            environment.agenda().at(readyUs, () -> whenAwake(source, action));
-            return;
-        }
-        action.run();
-        carryOut();
+    /** Makes the process stand still for a while. */
+    public void freeze(long durationUs) {
+        process.freeze(durationUs);
     }
 
-    private long readyUs(Object source) {
-        var readyUs = readyAtUs.getOrDefault(source, 0L);
-        if (frozen() && readyUs < frozenUntilUs) {
-            readyUs = frozenUntilUs + environment.disks().between(0, LATE_US);
-            readyAtUs.put(source, readyUs);
-        }
-        return readyUs;
+    @Override
+    public boolean isFrozen() {
+        return process.isFrozen();
     }
 
-    public void after(long us, Runnable action) {
-        environment.agenda().after(us, () -> whenAwake(new Object(), action));
+    void after(long delayUs, Runnable action) {
+        process.after(delayUs, action);
+    }
+
+    /** SIGTERM: leaves the chain, then calls back. */
+    public void shutDown(Runnable onEnd) {
+        process.run(onEnd, () -> shutdown.start(onEnd));
+    }
+
+    boolean isLeaving() {
+        return shutdown.isStarted();
+    }
+
+    /** SIGKILL: a write in progress ends between any two of its steps. */
+    void end(RandomStream random) {
+        process.end();
+        writer.end(random);
     }
 
     private void tick() {
-        dials.addAll(chain.committed().roster);
-        dials.remove(address());
-        environment.network().maintain(this, dials);
-        chain.onKnown(dials);
+        peers.addAll(chain.committed().roster);
+        peers.remove(address);
+        environment.network().maintain(this, peers);
+        chain.onKnown(peers);
         chain.onTick(nowUs());
-        carryOut();
-        duties.tick(nowUs());
+        carryOutEffects();
+        leaseService.tick(nowUs());
         after(TICK_US, this::tick);
     }
 
-    /** Members make themselves known to those they have dialed. */
-    private void hello() {
-        var record = new RecordWriter(RecordType.HELLO).text(address()).bytes();
-        dials.forEach(other -> environment.network().send(this, other, record));
-        after(HELLO_US, this::hello);
+    // ---- peers
+
+    /** Members make themselves known to those that they have dialed. */
+    private void sayHello() {
+        peers.forEach(this::sendHello);
+        after(HELLO_US, this::sayHello);
     }
 
-    /** A connection of this member was taken in by the other end. */
-    public void onConnected(String other) {
-        environment
-                .network()
-                .send(this, other, new RecordWriter(RecordType.HELLO).text(address()).bytes());
+    private void sendHello(String peer) {
+        var record = new RecordWriter(RecordType.HELLO).text(address).bytes();
+        environment.network().send(this, peer, record);
     }
 
-    public void onRecord(SimulatedNetwork.Connection by, byte[] record) {
-        var in = new RecordReader(record, true);
-        switch (in.type()) {
-            case RecordType.HELLO -> {
-                dial(in.text());
-                by.answer(new RecordWriter(RecordType.KNOWN_PEERS).texts(members()).bytes());
-            }
-            case RecordType.KNOWN_PEERS -> in.texts().forEach(this::dial);
-            case RecordType.ORDER_REQUEST -> orders.onAsk(by, in);
-            case RecordType.ORDER_RESPONSE -> orders.onAnswer(by, in);
-            case RecordType.LEASE_REQUEST -> leases.onWant(by, in);
-            case RecordType.LEASE_GRANT -> leases.onGrant(by, in);
-            default -> chain.onRecord(nowUs(), by.peerOf(this).address(), record);
+    private void addPeer(String other) {
+        if (!other.equals(address)) {
+            peers.add(other);
         }
     }
 
     /** The roster and who is reached beside it. */
-    private Set<String> members() {
+    private Set<String> knownMembers() {
         var members = new TreeSet<>(chain.committed().roster);
-        dials.stream().filter(d -> connection(d).isPresent()).forEach(members::add);
-        members.add(address());
+        peers.stream().filter(peer -> connection(peer).isPresent()).forEach(members::add);
+        members.add(address);
         return members;
     }
 
-    public void onClosed(SimulatedNetwork.Connection connection) {
-        orders.onClosed(connection);
-    }
-
-    /** A candidate that has made this member its home wants a lease. */
-    public void onWish(String key, String holder, long stampUs, LeaseForwarder.Grantee grantee) {
-        leases.want(key, holder, stampUs, grantee);
+    /** The open connection that this member has dialed to another. */
+    Optional<SimulatedConnection> connection(String other) {
+        return environment.network().connection(this, other);
     }
 
-    // ---- leaving in order
-
-    /** SIGTERM: leaves the chain in order, and ends when the chain can do without this member. */
-    public void leave(Runnable end) {
-        if (!leaving) {
-            leaving = true;
-            leaveSinceUs = nowUs();
-            chain.onLeave(nowUs());
-            leaveStep(end);
-        }
+    @Override
+    public void onConnected(String listener) {
+        process.run(listener, () -> sendHello(listener));
     }
 
-    private void leaveStep(Runnable end) {
-        if (mayEnd()) {
-            end.run();
-            return;
-        }
-        var urgent = nowUs() - leaveSinceUs >= LEAVE_URGENT_US;
-        var urgency = urgent ? ClusterState.LEAVE_NOW : ClusterState.LEAVE_SOON;
-        var order = new ClusterState.Change(ClusterState.Act.LEAVE, urgency, address(), "");
-        orders.forward(order, (status, text) -> leaveTaken |= status == 200);
-        after(LEAVE_AGAIN_US, () -> leaveStep(end));
+    @Override
+    public void onClosed(SimulatedConnection connection) {
+        process.run(connection, () -> forwarder.onClosed(connection));
     }
 
-    private boolean mayEnd() {
-        var told = leaveTaken || chain.mode() == ChainMember.Mode.LEARNING;
-        return told && chain.released(nowUs());
+    @Override
+    public void onRecord(SimulatedConnection connection, byte[] record) {
+        process.run(connection, () -> take(connection, record));
     }
 
-    // ---- orders of callers
-
-    /**
-     * An order of a caller, as the control API takes it: tried again for a while when there is no
-     * head.
-     */
-    public void onOrder(ClusterState.Change change, ReplyCallback reply) {
-        if (leaving) {
-            reply.accept(ReplyCallback.UNAVAILABLE, "this daemon is leaving");
-            return;
+    private void take(SimulatedConnection connection, byte[] record) {
+        var in = new RecordReader(record, true);
+        switch (in.type()) {
+            case RecordType.HELLO -> {
+                addPeer(in.text());
+                connection.answer(
+                        new RecordWriter(RecordType.KNOWN_PEERS).texts(knownMembers()).bytes());
+            }
+            case RecordType.KNOWN_PEERS -> in.texts().forEach(this::addPeer);
+            case RecordType.ORDER_REQUEST -> forwarder.onRequest(connection, in);
+            case RecordType.ORDER_RESPONSE -> forwarder.onResponse(connection, in);
+            case RecordType.LEASE_REQUEST -> leases.onRequest(connection, in);
+            case RecordType.LEASE_GRANT -> leases.onGrant(connection, in);
+            default -> chain.onRecord(nowUs(), connection.peerOf(this).address(), record);
         }
-        order(chain.committed().accepted(change), nowUs(), reply);
     }
 
-    private void order(ClusterState.Change change, long sinceUs, ReplyCallback reply) {
-        orders.forward(
-                change,
-                (status, text) -> {
-                    if (status == ReplyCallback.UNAVAILABLE
-                            && nowUs() - sinceUs < API_PATIENCE_US) {
-                        after(API_PAUSE_US, () -> order(change, sinceUs, reply));
-                    } else {
-                        var unclear = status == ClusterState.STALE_ORDER;
-                        reply.accept(unclear ? ReplyCallback.UNAVAILABLE : status, text);
-                    }
-                });
-    }
-
-    // ---- what the process does
+    // ---- clients
 
-    private void dial(String other) {
-        if (!other.equals(address())) {
-            dials.add(other);
-        }
+    @Override
+    public void submit(Object client, ClusterState.Change command, ReplyCallback callback) {
+        process.run(client, () -> commands.submit(command, callback));
     }
 
-    /** The open connection that this member has dialed to another. */
-    public Optional<SimulatedNetwork.Connection> connection(String other) {
-        return environment.network().connection(this, other);
+    @Override
+    public void requestLease(Object client, LeaseRequest request, LeaseGrantCallback callback) {
+        process.run(client, () -> leases.request(request, callback));
     }
 
-    public void send(String to, byte[] record) {
-        dial(to);
-        environment.network().send(this, to, record);
-    }
+    // ---- effects of the chain
 
-    private void carryOut() {
-        for (var commands = chain.drain(); !commands.isEmpty(); commands = chain.drain()) {
-            commands.forEach(this::carryOut);
+    private void carryOutEffects() {
+        for (var effects = chain.drain(); !effects.isEmpty(); effects = chain.drain()) {
+            effects.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command command) {
-        if (command instanceof ChainMember.Send send) {
-            send(send.to(), send.record());
-        } else if (command instanceof ChainMember.Store store) {
-            stores.add(store);
-            if (stores.size() == 1) {
-                beginStore();
-            }
-        } else if (command instanceof ChainMember.Answer answer) {
-            if (answer.status() == 200) {
-                environment.invariants().acknowledged(chain.view(), address(), startedUs);
-            }
-            orders.onChainAnswer(answer);
-        } else if (command instanceof ChainMember.Committed committed) {
-            environment.invariants().committed(address(), committed.state());
+    private void carryOut(ChainMember.Command effect) {
+        if (effect instanceof ChainMember.Send send) {
+            addPeer(send.to());
+            environment.network().send(this, send.to(), send.record());
+        } else if (effect instanceof ChainMember.Store write) {
+            writer.enqueue(write);
+        } else if (effect instanceof ChainMember.Answer answer) {
+            complete(answer);
+        } else if (effect instanceof ChainMember.Committed committed) {
+            environment.invariants().onCommitted(address, committed.state());
         }
     }
 
-    // ---- the disk
-
-    private void beginStore() {
-        environment.agenda().after(machine.syncUs(), this::finishStore);
-    }
-
-    /** The disk works on while the process is frozen; the process learns of it when it is awake. */
-    private void finishStore() {
-        if (!running) {
-            return;
-        }
-        if (machine.stalledUntilUs() > nowUs()) {
-            environment.agenda().at(machine.stalledUntilUs(), this::finishStore);
-            return;
-        }
-        var store = stores.peek();
-        try {
-            disk.keep(store.memberState().bytes());
-        } catch (MartenloomException refused) {
-            environment.agenda().after(DISK_RETRY_US, this::finishStore);
-            return;
+    private void complete(ChainMember.Answer answer) {
+        var reply = new CommandReply(answer.status(), answer.text());
+        if (reply.isSuccess()) {
+            environment.invariants().onAcknowledged(chain.view(), address, startedUs);
         }
-        stores.poll();
-        if (!stores.isEmpty()) {
-            beginStore();
-        }
-        whenAwake(disk, () -> chain.onStored(nowUs(), store.token()));
+        forwarder.onCompleted(answer.request(), reply);
     }
 
-    /** Ends this life; a write under way ends between any two of its steps. */
-    public void end(RandomStream random) {
-        running = false;
-        if (stores.isEmpty()) {
-            return;
-        }
-        machine.disk().endAfter(random.below(MOST_DISK_STEPS));
-        try {
-            disk.keep(stores.peek().memberState().bytes());
-        } catch (SimulatedDisk.Ended | MartenloomException unfinished) {
-            // This is what was to be brought about: the write stays as it is.
-        }
+    private void onPersisted(long token) {
+        process.run(writer, () -> chain.onStored(nowUs(), token));
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/disk/SimulatedDisk.java
+++ b/simulation/src/main/java/martenloom/simulation/disk/SimulatedDisk.java
@@ -19,34 +19,19 @@
  */
 public final class SimulatedDisk implements VersionedStore.Folder {
     private static final Pattern VERSION_FILE = Pattern.compile(".*-[0-9a-f]{16}");
-    private static final byte[] NOTHING = {};
+    private static final int UNSYNCED_OUTCOMES = 3;
 
-    /** The process ended inside an operation. */
-    public static final class Ended extends RuntimeException {
-        private static final long serialVersionUID = 1;
-
-        Ended() {
-            super("ended inside an operation of the disk", null, false, false);
-        }
-    }
-
-    private static final class File {
-        private byte[] content = NOTHING;
-        private boolean synced;
-    }
-
-    private sealed interface FolderChange permits Made, Moved, Removed {}
+    private final RandomStream random;
 
-    private record Made(String name, File file) implements FolderChange {}
+    /** The files as the running process sees them. */
+    private final Map<String, SimulatedFile> files = new TreeMap<>();
 
-    private record Moved(String from, String to, File file) implements FolderChange {}
+    /** The files as of the last sync of the folder. */
+    private final Map<String, SimulatedFile> durableFiles = new HashMap<>();
 
-    private record Removed(String name) implements FolderChange {}
+    /** The changes of names since the last sync of the folder, in order. */
+    private final List<FolderChange> unsyncedChanges = new ArrayList<>();
 
-    private final RandomStream random;
-    private final Map<String, File> names = new TreeMap<>();
-    private final Map<String, File> lasting = new HashMap<>();
-    private final List<FolderChange> unsynced = new ArrayList<>();
     private int stepsLeft = Integer.MAX_VALUE;
     private boolean full;
 
@@ -54,141 +39,130 @@
         this.random = random;
     }
 
-    /** Makes the process end after so many further steps. */
-    public void endAfter(int steps) {
+    /** Makes the process end after so many further steps of operations. */
+    public void endProcessAfter(int steps) {
         stepsLeft = steps;
     }
 
+    /** Makes the disk refuse the contents of files, or take them again. */
     public void setFull(boolean full) {
         this.full = full;
     }
 
     /** A new process on the same machine: what was written is there, synced or not. */
-    public void restart() {
+    public void onProcessStart() {
         stepsLeft = Integer.MAX_VALUE;
     }
 
+    /** The disk is empty. */
     public void wipe() {
-        names.clear();
-        lasting.clear();
-        unsynced.clear();
+        files.clear();
+        durableFiles.clear();
+        unsyncedChanges.clear();
     }
 
+    /** The machine loses power: each unsynced name, and each unsynced content, is kept or lost. */
     public void losePower() {
-        var kept = new TreeMap<>(lasting);
-        for (var change : unsynced) {
+        var kept = new TreeMap<>(durableFiles);
+        for (var change : unsyncedChanges) {
             if (random.coin()) {
-                apply(change, kept);
+                change.applyTo(kept);
             }
         }
-        unsynced.clear();
-        names.clear();
-        names.putAll(kept);
-        lasting.clear();
-        lasting.putAll(kept);
-        names.values().stream().filter(f -> !f.synced).forEach(this::settle);
-    }
-
-    private static void apply(FolderChange change, Map<String, File> folder) {
-        if (change instanceof Made made) {
-            folder.put(made.name, made.file);
-        } else if (change instanceof Moved moved) {
-            folder.remove(moved.from);
-            folder.put(moved.to, moved.file);
-        } else if (change instanceof Removed removed) {
-            folder.remove(removed.name);
-        }
+        unsyncedChanges.clear();
+        files.clear();
+        files.putAll(kept);
+        durableFiles.clear();
+        durableFiles.putAll(kept);
+        files.values().stream().filter(file -> !file.isSynced()).forEach(this::settleContent);
     }
 
     /** Contents that were not synced: present, missing or torn. */
-    private void settle(File file) {
-        switch (random.below(3)) {
+    private void settleContent(SimulatedFile file) {
+        switch (random.below(UNSYNCED_OUTCOMES)) {
             case 0 -> {}
-            case 1 -> file.content = NOTHING;
-            default -> file.content = torn(file.content);
+            case 1 -> file.truncate();
+            default -> file.write(torn(file.content()));
         }
-        file.synced = true;
+        file.markSynced();
     }
 
     private byte[] torn(byte[] content) {
-        return content.length == 0 ? NOTHING : Arrays.copyOf(content, random.below(content.length));
-    }
-
-    /** The newest version file is no longer whole. */
-    public boolean tearNewest() {
-        var newest =
-                names.keySet().stream()
-                        .filter(n -> VERSION_FILE.matcher(n).matches())
-                        .max(String::compareTo);
-        newest.ifPresent(
-                n -> {
-                    var file = new File();
-                    file.content = torn(names.get(n).content);
-                    file.synced = true;
-                    names.put(n, file);
-                    lasting.put(n, file);
-                });
-        return newest.isPresent();
+        return content.length == 0 ? content : Arrays.copyOf(content, random.below(content.length));
+    }
+
+    /** The newest version file, if there is one, is no longer complete. */
+    public void tearNewestVersion() {
+        files.keySet().stream()
+                .filter(name -> VERSION_FILE.matcher(name).matches())
+                .max(String::compareTo)
+                .ifPresent(this::tear);
+    }
+
+    private void tear(String name) {
+        var file = SimulatedFile.synced(torn(files.get(name).content()));
+        files.put(name, file);
+        durableFiles.put(name, file);
     }
 
     private void step() {
         if (stepsLeft-- <= 0) {
-            throw new Ended();
+            throw new ProcessEndedException();
         }
     }
 
     @Override
     public List<String> names() {
-        return List.copyOf(names.keySet());
+        return List.copyOf(files.keySet());
     }
 
     @Override
     public byte[] read(String name) {
-        return names.get(name).content.clone();
+        return files.get(name).content().clone();
     }
 
     @Override
     public void writeSynced(String name, byte[] content) {
         step();
-        var file = names.get(name);
-        if (file == null) {
-            file = new File();
-            names.put(name, file);
-            unsynced.add(new Made(name, file));
-        }
-        file.content = NOTHING;
-        file.synced = false;
+        var file = files.computeIfAbsent(name, this::create);
+        file.truncate();
         step();
-        file.content = torn(content);
+        file.write(torn(content));
         if (full) {
             throw new StorageException("write " + name, "no space is left");
         }
         step();
-        file.content = content.clone();
+        file.write(content.clone());
         step();
-        file.synced = true;
+        file.markSynced();
+    }
+
+    private SimulatedFile create(String name) {
+        var file = new SimulatedFile();
+        unsyncedChanges.add(new FolderChange.Created(name, file));
+        return file;
     }
 
     @Override
     public void rename(String from, String to) {
         step();
-        var file = names.remove(from);
-        names.put(to, file);
-        unsynced.add(new Moved(from, to, file));
+        var file = files.remove(from);
+        files.put(to, file);
+        unsyncedChanges.add(new FolderChange.Renamed(from, to, file));
     }
 
     @Override
     public void syncFolder() {
         step();
-        lasting.clear();
-        lasting.putAll(names);
-        unsynced.clear();
+        durableFiles.clear();
+        durableFiles.putAll(files);
+        unsyncedChanges.clear();
     }
 
     @Override
     public void remove(String name) {
         step();
-        names.remove(name);
-        unsynced.add(new Removed(name));
+        files.remove(name);
+        unsyncedChanges.add(new FolderChange.Removed(name));
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
@@ -6,26 +6,35 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import martenloom.core.state.ClusterState;
 
 /**
  * The calls on the configuration, as one register with versions. Since versions only rise, a
- * history of calls is linearizable when each call that is answered 200 lies at or above the floor
- * that held as it began: the highest version that had been acknowledged or read by then.
+ * history of calls is linearizable when each successful call lies at or above the floor that held
+ * as it began: the highest version that had been acknowledged or read by then.
  */
 public final class ConfigurationHistory {
-    private static final Pattern IN_FORCE = Pattern.compile("revision (\\d+) is in place.*");
+    private static final Pattern REVISION_IN_FORCE =
+            Pattern.compile("revision (\\d+) is in place.*");
 
-    /** A configuration that an operator wants to see in force. */
-    public record Order(long base, long revision, String body) {}
+    /**
+     * A command that replaces the configuration.
+     *
+     * @param base the revision that it replaces
+     * @param revision the revision that it makes
+     * @param json the configuration, unlike that of any other replacement
+     */
+    public record Replacement(long base, long revision, String json) {}
+
+    private final Map<Long, String> jsonByRevision = new HashMap<>();
+    private final Map<Long, String> jsonByBase = new HashMap<>();
+    private final Map<String, Replacement> sentByJson = new HashMap<>();
+    private final Set<String> rejectedJson = new HashSet<>();
+
+    /** Each acknowledged replacement once, in the order of the first acknowledgements. */
+    private final List<Replacement> acknowledged = new ArrayList<>();
 
-    private final Map<Long, String> winnerOfRevision = new HashMap<>();
-    private final Map<Long, String> winnerOfBase = new HashMap<>();
-    private final Map<String, Order> sent = new HashMap<>();
-    private final Set<String> refused = new HashSet<>();
-    private final List<Order> acknowledged = new ArrayList<>();
     private long floor;
     private int acknowledgements;
 
@@ -34,110 +43,114 @@
         return floor;
     }
 
+    /** How many acknowledgements clients have received, repeated ones included. */
     public int acknowledgements() {
         return acknowledgements;
     }
 
-    public List<Order> acknowledged() {
+    public List<Replacement> acknowledged() {
         return acknowledged;
     }
 
-    public void onSent(Order order) {
-        sent.put(order.body, order);
+    /** A client is about to send a replacement for the first time. */
+    public void onSent(Replacement replacement) {
+        sentByJson.put(replacement.json, replacement);
     }
 
-    public void onCommitted(ClusterState state) {
-        if (state.revision == 0) {
+    /** A state was committed for the first time. */
+    void onCommitted(ClusterState state) {
+        var revision = state.revision;
+        var json = state.json;
+        if (revision == 0) {
             return;
         }
-        var other = winnerOfRevision.putIfAbsent(state.revision, state.json);
-        check(
-                other == null || other.equals(state.json),
-                Invariant.ONE_WINNER,
-                "revision " + state.revision + " is taken by " + other + " and by " + state.json);
-        var order = sent.get(state.json);
-        check(
-                order != null && order.revision == state.revision,
-                Invariant.ONE_WINNER,
-                "nobody sent " + state.json + " as revision " + state.revision);
-        var rival = winnerOfBase.putIfAbsent(order.base, state.json);
-        check(
-                rival == null || rival.equals(state.json),
-                Invariant.ONE_WINNER,
-                "base " + order.base + " is taken by " + rival + " and by " + state.json);
-        check(
-                !refused.contains(state.json),
-                Invariant.REPEATABLE_ORDER,
-                "a refused configuration is committed: " + state.json);
+        var other = jsonByRevision.putIfAbsent(revision, json);
+        Invariant.ONE_WINNER.check(
+                other == null || other.equals(json),
+                "revision " + revision + " is taken by " + other + " and by " + json);
+        var sent = sentByJson.get(json);
+        Invariant.ONE_WINNER.check(
+                sent != null && sent.revision == revision,
+                "nobody sent " + json + " as revision " + revision);
+        var rival = jsonByBase.putIfAbsent(sent.base, json);
+        Invariant.ONE_WINNER.check(
+                rival == null || rival.equals(json),
+                "base " + sent.base + " is taken by " + rival + " and by " + json);
+        Invariant.REPEATABLE_ORDER.check(
+                !rejectedJson.contains(json), "a refused configuration is committed: " + json);
     }
 
     /** Two neighbouring editions: the configuration moves on from its base, or stays. */
-    public void onNext(ClusterState before, ClusterState after) {
-        var moved = after.revision != before.revision;
-        var order = sent.get(after.json);
-        check(
-                !moved || order != null && order.base == before.revision,
-                Invariant.ONE_WINNER,
+    void onNext(ClusterState before, ClusterState after) {
+        var replaced = after.revision != before.revision;
+        var sent = sentByJson.get(after.json);
+        Invariant.ONE_WINNER.check(
+                !replaced || sent != null && sent.base == before.revision,
                 "revision " + before.revision + " is followed by " + after.json);
     }
 
-    public void onAcknowledged(Order order) {
-        check(
-                order.body.equals(winnerOfRevision.get(order.revision)),
-                Invariant.OWN_ANSWER,
-                "acknowledged but not committed: " + order.body);
-        floor = Math.max(floor, order.revision);
+    /** A client was told that its replacement is in force. */
+    public void onAcknowledged(Replacement replacement) {
+        Invariant.OWN_ANSWER.check(
+                isCommitted(replacement), "acknowledged but not committed: " + replacement.json);
+        floor = Math.max(floor, replacement.revision);
         acknowledgements++;
-        if (!acknowledged.contains(order)) {
-            acknowledged.add(order);
+        if (!acknowledged.contains(replacement)) {
+            acknowledged.add(replacement);
         }
     }
 
-    public void onRefused(Order order, int status, String text, long floorAtStart) {
-        check(
-                status == 412,
-                Invariant.REPEATABLE_ORDER,
-                "a valid configuration is refused with " + status + " " + text + ": " + order.body);
-        check(
-                !order.body.equals(winnerOfRevision.get(order.revision)),
-                Invariant.REPEATABLE_ORDER,
-                "taken, then refused (" + text + "): " + order.body);
-        Matcher named = IN_FORCE.matcher(text);
-        check(
-                named.matches(),
-                Invariant.OWN_ANSWER,
-                "a refusal does not name the version in force: " + text);
-        check(
+    private boolean isCommitted(Replacement replacement) {
+        return replacement.json.equals(jsonByRevision.get(replacement.revision));
+    }
+
+    /**
+     * A client was told that its replacement is rejected.
+     *
+     * @param floorAtStart the floor as the call began
+     */
+    public void onRejected(Replacement replacement, CommandReply reply, long floorAtStart) {
+        var json = replacement.json;
+        Invariant.REPEATABLE_ORDER.check(
+                reply.isPreconditionFailed(),
+                "a valid configuration is refused with "
+                        + reply.status()
+                        + " "
+                        + reply.text()
+                        + ": "
+                        + json);
+        Invariant.REPEATABLE_ORDER.check(
+                !isCommitted(replacement), "taken, then refused (" + reply.text() + "): " + json);
+        var named = REVISION_IN_FORCE.matcher(reply.text());
+        Invariant.OWN_ANSWER.check(
+                named.matches(), "a refusal does not name the version in force: " + reply.text());
+        Invariant.LINEARIZABLE.check(
                 Long.parseLong(named.group(1)) >= floorAtStart,
-                Invariant.LINEARIZABLE,
                 "a refusal names " + named.group(1) + " after " + floorAtStart + " was known");
-        refused.add(order.body);
+        rejectedJson.add(json);
     }
 
-    /** A read was answered; returns the version read. */
-    public long onRead(int status, String text, long floorAtStart) {
-        var revision = status == 404 ? 0 : revisionOf(text);
-        check(
+    /**
+     * A read was answered; returns the revision that was read, 0 when there is none.
+     *
+     * @param floorAtStart the floor as the call began
+     */
+    public long onRead(CommandReply reply, long floorAtStart) {
+        var json = reply.text();
+        var revision = reply.isNotFound() ? 0 : revisionOf(json);
+        Invariant.LINEARIZABLE.check(
                 revision >= floorAtStart,
-                Invariant.LINEARIZABLE,
                 "revision " + revision + " is read after " + floorAtStart + " was known");
-        check(
-                revision == 0 || text.equals(winnerOfRevision.get(revision)),
-                Invariant.LINEARIZABLE,
-                "read, but never committed: " + text);
+        Invariant.LINEARIZABLE.check(
+                revision == 0 || json.equals(jsonByRevision.get(revision)),
+                "read, but never committed: " + json);
         floor = Math.max(floor, revision);
         return revision;
     }
 
-    private long revisionOf(String text) {
-        var order = sent.get(text);
-        check(order != null, Invariant.OWN_ANSWER, "a read is answered with '" + text + "'");
-        return order.revision;
-    }
-
-    private static void check(boolean holds, Invariant invariant, String seen) {
-        if (!holds) {
-            throw new InvariantViolation(invariant, seen);
-        }
+    private long revisionOf(String json) {
+        var sent = sentByJson.get(json);
+        Invariant.OWN_ANSWER.check(sent != null, "a read is answered with '" + json + "'");
+        return sent.revision;
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
@@ -3,98 +3,103 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import martenloom.core.state.ClusterState;
 
 /**
- * The orders that evacuate zones, as one register for each zone. An operator gives the orders for
- * its zone one after the other; once one was acknowledged and until the next is sent, no edition
- * committed from then on may show its opposite.
+ * The commands that evacuate zones and bring them back, as one register for each zone. A client
+ * sends the commands for its zone one after the other; once one was acknowledged and until the next
+ * is sent, no edition committed from then on may show its opposite.
  */
 public final class EvacuationHistory {
-    private static final class Zone {
-        private boolean open;
-        private Optional<Boolean> acknowledged = Optional.empty();
-        private long editionAtAnswer;
-        private boolean wanted;
+    private static final class ZoneRegister {
+        private boolean evacuationWanted;
+
+        /** Whether the newest command has no outcome yet. */
+        private boolean inFlight;
+
+        /** Whether the newest command was acknowledged. */
+        private boolean acknowledged;
+
+        private long editionAtAcknowledgement;
 
         /** Whether an edition since the sending showed what is wanted. */
-        private boolean shown;
+        private boolean wantedStateSeen;
 
-        /**
-         * Whether the order before this one had a clear answer, so that no copy of it may act any
-         * more.
-         */
-        private boolean settledBefore;
+        /** Whether the command before was acknowledged, so that no copy of it may act any more. */
+        private boolean previousAcknowledged;
     }
 
-    private final Map<String, Zone> zones = new HashMap<>();
+    private final Map<String, ZoneRegister> registers = new HashMap<>();
     private ClusterState newest = ClusterState.founded(List.of());
 
+    /** A client is about to send a command. */
     public void onSent(String zone, boolean evacuated) {
-        var z = zones.computeIfAbsent(zone, k -> new Zone());
-        z.settledBefore = z.acknowledged.isPresent();
-        z.open = true;
-        z.wanted = evacuated;
-        z.shown = newest.evacuated.contains(zone) == evacuated;
-        z.acknowledged = Optional.empty();
+        var register = registers.computeIfAbsent(zone, name -> new ZoneRegister());
+        register.previousAcknowledged = register.acknowledged;
+        register.inFlight = true;
+        register.evacuationWanted = evacuated;
+        register.wantedStateSeen = isEvacuated(newest, zone) == evacuated;
+        register.acknowledged = false;
     }
 
-    public void onAcknowledged(String zone, boolean evacuated) {
-        var z = zones.get(zone);
-        z.open = false;
-        z.acknowledged = Optional.of(evacuated);
-        z.editionAtAnswer = newest.edition;
-        if (!z.shown) {
-            throw new InvariantViolation(
-                    Invariant.OWN_ANSWER,
-                    "zone "
-                            + zone
-                            + " is acknowledged as "
-                            + word(evacuated)
-                            + ", which no edition shows");
-        }
-        if (z.settledBefore && newest.evacuated.contains(zone) != evacuated) {
-            throw new InvariantViolation(
-                    Invariant.NO_STALE_ORDER,
-                    "zone "
-                            + zone
-                            + " is acknowledged as "
-                            + word(evacuated)
-                            + ", but edition "
-                            + newest.edition
-                            + " undoes it");
-        }
+    /** A client was told that its newest command was carried out. */
+    public void onAcknowledged(String zone) {
+        var register = registers.get(zone);
+        register.inFlight = false;
+        register.acknowledged = true;
+        register.editionAtAcknowledgement = newest.edition;
+        Invariant.OWN_ANSWER.check(
+                register.wantedStateSeen,
+                "zone "
+                        + zone
+                        + " is acknowledged as "
+                        + word(register.evacuationWanted)
+                        + ", which no edition shows");
+        var undone = isEvacuated(newest, zone) != register.evacuationWanted;
+        Invariant.NO_STALE_ORDER.check(
+                !register.previousAcknowledged || !undone,
+                "zone "
+                        + zone
+                        + " is acknowledged as "
+                        + word(register.evacuationWanted)
+                        + ", but edition "
+                        + newest.edition
+                        + " undoes it");
     }
 
+    /** A client does not wait for the outcome of its newest command any longer. */
     public void onGivenUp(String zone) {
-        zones.get(zone).open = false;
+        registers.get(zone).inFlight = false;
     }
 
-    public void onCommitted(ClusterState state) {
+    /** A state was committed for the first time. */
+    void onCommitted(ClusterState state) {
         if (state.edition > newest.edition) {
             newest = state;
         }
-        zones.forEach((name, zone) -> check(name, zone, state));
+        registers.forEach((zone, register) -> check(zone, register, state));
     }
 
-    private static void check(String name, Zone zone, ClusterState state) {
-        zone.shown |= state.evacuated.contains(name) == zone.wanted;
-        if (zone.open || zone.acknowledged.isEmpty() || state.edition <= zone.editionAtAnswer) {
-            return;
-        }
-        var wanted = zone.acknowledged.get();
-        if (state.evacuated.contains(name) != wanted) {
-            throw new InvariantViolation(
-                    Invariant.NO_STALE_ORDER,
-                    "zone "
-                            + name
-                            + " was acknowledged as "
-                            + word(wanted)
-                            + ", and edition "
-                            + state.edition
-                            + " undoes it");
-        }
+    private static void check(String zone, ZoneRegister register, ClusterState state) {
+        var wanted = isEvacuated(state, zone) == register.evacuationWanted;
+        register.wantedStateSeen |= wanted;
+        var settled =
+                register.acknowledged
+                        && !register.inFlight
+                        && state.edition > register.editionAtAcknowledgement;
+        Invariant.NO_STALE_ORDER.check(
+                wanted || !settled,
+                "zone "
+                        + zone
+                        + " was acknowledged as "
+                        + word(register.evacuationWanted)
+                        + ", and edition "
+                        + state.edition
+                        + " undoes it");
+    }
+
+    private static boolean isEvacuated(ClusterState state, String zone) {
+        return state.evacuated.contains(zone);
     }
 
     private static String word(boolean evacuated) {
--- a/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
+++ b/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
@@ -10,15 +10,15 @@
 import martenloom.core.state.ClusterState;
 
 /**
- * Looks on at every commit and every acknowledgement, and throws a {@link InvariantViolation} at
- * the first that must not be.
+ * Observes every commit and every acknowledgement of all members, and throws an {@link
+ * InvariantViolation} at the first that must not be. Keeps the histories of the clients' calls.
  */
 public final class InvariantChecker {
-    private record Acknowledger(String address, long life) {}
+    private record Acknowledger(String address, long incarnation) {}
 
-    private final TreeMap<Long, ClusterState> committed = new TreeMap<>();
-    private final Map<Long, byte[]> bytes = new HashMap<>();
-    private final Map<ChainMember.Ballot, Acknowledger> acknowledgers = new HashMap<>();
+    private final TreeMap<Long, ClusterState> stateByEdition = new TreeMap<>();
+    private final Map<Long, byte[]> bytesByEdition = new HashMap<>();
+    private final Map<ChainMember.Ballot, Acknowledger> acknowledgerByView = new HashMap<>();
     private final ConfigurationHistory configurations = new ConfigurationHistory();
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
@@ -37,19 +37,20 @@
 
     /** The newest edition that any member has committed. */
     public long newestEdition() {
-        return committed.isEmpty() ? 0 : committed.lastKey();
+        return stateByEdition.isEmpty() ? 0 : stateByEdition.lastKey();
     }
 
-    public void committed(String address, ClusterState state) {
+    /** A member has committed a state. */
+    public void onCommitted(String address, ClusterState state) {
         if (state.edition == 0) {
             return;
         }
-        var mine = state.bytes();
-        var known = bytes.putIfAbsent(state.edition, mine);
+        var bytes = state.bytes();
+        var known = bytesByEdition.putIfAbsent(state.edition, bytes);
         if (known == null) {
-            committed.put(state.edition, state);
+            stateByEdition.put(state.edition, state);
             onNewEdition(state);
-        } else if (!Arrays.equals(known, mine)) {
+        } else if (!Arrays.equals(known, bytes)) {
             throw new InvariantViolation(
                     Invariant.ONE_STATE_PER_EDITION,
                     address + " commits another state under edition " + state.edition);
@@ -57,7 +58,7 @@
     }
 
     private void onNewEdition(ClusterState state) {
-        var before = committed.get(state.edition - 1);
+        var before = stateByEdition.get(state.edition - 1);
         if (before != null) {
             checkRosters(before.roster, state.roster);
             configurations.onNext(before, state);
@@ -68,25 +69,25 @@
     }
 
     private static void checkRosters(List<String> before, List<String> after) {
-        var both = new HashSet<>(before);
-        both.addAll(after);
-        if (majority(before) + majority(after) <= both.size()) {
-            throw new InvariantViolation(
-                    Invariant.MAJORITIES_MEET, "roster " + before + " is followed by " + after);
-        }
+        var union = new HashSet<>(before);
+        union.addAll(after);
+        Invariant.MAJORITIES_MEET.check(
+                majority(before) + majority(after) > union.size(),
+                "roster " + before + " is followed by " + after);
     }
 
     private static int majority(List<String> roster) {
         return roster.size() / 2 + 1;
     }
 
-    public void acknowledged(ChainMember.Ballot view, String address, long life) {
-        var mine = new Acknowledger(address, life);
-        var known = acknowledgers.putIfAbsent(view, mine);
-        if (known != null && !known.equals(mine)) {
+    /** A member has acknowledged a command as the head of a view. */
+    public void onAcknowledged(ChainMember.Ballot view, String address, long incarnation) {
+        var acknowledger = new Acknowledger(address, incarnation);
+        var known = acknowledgerByView.putIfAbsent(view, acknowledger);
+        if (known != null && !known.equals(acknowledger)) {
             throw new InvariantViolation(
                     Invariant.ONE_HEAD_PER_VIEW,
-                    "in view " + view + " both " + known + " and " + mine + " acknowledge");
+                    "in view " + view + " both " + known + " and " + acknowledger + " acknowledge");
         }
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/history/InvariantViolation.java
+++ b/simulation/src/main/java/martenloom/simulation/history/InvariantViolation.java
@@ -1,6 +1,6 @@
 package martenloom.simulation.history;
 
-/** A broken invariant: which one, when in simulated time, and what was seen. */
+/** A broken invariant: which one, and what was seen. Ends the simulated day. */
 public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
     private final Invariant invariant;
--- a/simulation/src/main/java/martenloom/simulation/workload/ConfigurationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/ConfigurationOperator.java
@@ -4,70 +4,79 @@
 import martenloom.core.state.ClusterState;
 import martenloom.simulation.engine.EventQueue;
 import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.CommandReply;
 import martenloom.simulation.history.ConfigurationHistory;
+import martenloom.simulation.history.ConfigurationHistory.Replacement;
 
 /**
- * Reads the configuration, replaces it, and at times sends an order again that was acknowledged
- * long before.
+ * A client that reads the configuration, replaces it, and at times repeats a replacement that was
+ * acknowledged long before.
  */
-public final class ConfigurationOperator {
-    private static final long LONGEST_THOUGHT_US = 400_000;
+final class ConfigurationOperator {
+    private static final long LONGEST_PAUSE_US = 400_000;
+    private static final int REPEAT_ONE_IN = 8;
+    private static final int READ_ONE_IN = 3;
 
     private final String name;
-    private final RetryingClient callers;
-    private final EventQueue agenda;
+    private final RetryingClient client;
+    private final EventQueue events;
     private final RandomStream random;
     private final ConfigurationHistory history;
-    private int orders;
+    private int replacements;
     private int stormLeft;
 
-    public ConfigurationOperator(
+    ConfigurationOperator(
             String name,
-            RetryingClient callers,
-            EventQueue agenda,
+            RetryingClient client,
+            EventQueue events,
             RandomStream random,
             ConfigurationHistory history) {
         this.name = name;
-        this.callers = callers;
-        this.agenda = agenda;
+        this.client = client;
+        this.events = events;
         this.random = random;
         this.history = history;
     }
 
-    public void start() {
+    void start() {
         read();
     }
 
-    /** Sends so many configurations without a pause. */
-    public void storm(int count) {
+    /** Replaces the configuration so many times without a pause. */
+    void storm(int count) {
         stormLeft = count;
     }
 
     private void read() {
         var floor = history.floor();
-        callers.call(
+        client.send(
                 new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
-                answer -> {
-                    if (answer.isPresent()) {
-                        next(history.onRead(answer.get().status(), answer.get().text(), floor));
+                reply -> {
+                    if (reply.isPresent()) {
+                        goOn(history.onRead(reply.get(), floor));
                     } else {
                         read();
                     }
                 });
     }
 
-    private void next(long revision) {
+    /**
+     * Chooses what to do next.
+     *
+     * @param revision the revision that this client takes to be in force
+     */
+    private void goOn(long revision) {
         if (stormLeft > 0) {
             stormLeft--;
             replace(revision);
             return;
         }
-        agenda.after(
-                random.between(0, LONGEST_THOUGHT_US),
+        events.after(
+                random.between(0, LONGEST_PAUSE_US),
                 () -> {
-                    if (random.oneIn(8) && !history.acknowledged().isEmpty()) {
-                        sendAgain();
-                    } else if (random.oneIn(3)) {
+                    if (random.oneIn(REPEAT_ONE_IN) && !history.acknowledged().isEmpty()) {
+                        repeat();
+                    } else if (random.oneIn(READ_ONE_IN)) {
                         read();
                     } else {
                         replace(revision);
@@ -77,41 +86,41 @@
 
     private void replace(long base) {
         var revision = base + 1;
-        var body =
+        var json =
                 "{\"Revision\":"
                         + revision
                         + ",\"Routes\":[],\"Backends\":[],\"Note\":\""
                         + name
                         + "-"
-                        + ++orders
+                        + ++replacements
                         + "\"}";
-        var order = new ConfigurationHistory.Order(base, revision, body);
-        history.onSent(order);
-        send(order);
+        var replacement = new Replacement(base, revision, json);
+        history.onSent(replacement);
+        send(replacement);
     }
 
-    /** An acknowledged order once more, and the very first one at times: none may be refused. */
-    private void sendAgain() {
-        var all = history.acknowledged();
-        send(random.coin() ? all.get(0) : random.pick(all));
+    /** Sends an acknowledged replacement again, at times the very first: none may be rejected. */
+    private void repeat() {
+        var acknowledged = history.acknowledged();
+        send(random.coin() ? acknowledged.get(0) : random.pick(acknowledged));
     }
 
-    private void send(ConfigurationHistory.Order order) {
+    private void send(Replacement replacement) {
         var floor = history.floor();
-        var change =
-                new ClusterState.Change(ClusterState.Act.REPLACE, order.base(), "", order.body());
-        callers.call(change, answer -> onAnswer(order, floor, answer));
+        client.send(
+                new ClusterState.Change(
+                        ClusterState.Act.REPLACE, replacement.base(), "", replacement.json()),
+                reply -> onReply(replacement, floor, reply));
     }
 
-    private void onAnswer(
-            ConfigurationHistory.Order order, long floor, Optional<RetryingClient.Answer> answer) {
-        if (answer.isEmpty()) {
+    private void onReply(Replacement replacement, long floor, Optional<CommandReply> reply) {
+        if (reply.isEmpty()) {
             read();
-        } else if (answer.get().status() == 200) {
-            history.onAcknowledged(order);
-            next(Math.max(order.revision(), history.floor()));
+        } else if (reply.get().isSuccess()) {
+            history.onAcknowledged(replacement);
+            goOn(Math.max(replacement.revision(), history.floor()));
         } else {
-            history.onRefused(order, answer.get().status(), answer.get().text(), floor);
+            history.onRejected(replacement, reply.get(), floor);
             read();
         }
     }
--- a/simulation/src/main/java/martenloom/simulation/workload/ConfigurationReader.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/ConfigurationReader.java
@@ -5,33 +5,37 @@
 import martenloom.simulation.engine.RandomStream;
 import martenloom.simulation.history.ConfigurationHistory;
 
-/** Reads the configuration again and again, from any member. */
-public final class ConfigurationReader {
+/** A client that reads the configuration again and again, from any member. */
+final class ConfigurationReader {
     private static final long LONGEST_PAUSE_US = 250_000;
 
-    private final RetryingClient callers;
-    private final EventQueue agenda;
+    private final RetryingClient client;
+    private final EventQueue events;
     private final RandomStream random;
     private final ConfigurationHistory history;
 
-    public ConfigurationReader(
-            RetryingClient callers,
-            EventQueue agenda,
+    ConfigurationReader(
+            RetryingClient client,
+            EventQueue events,
             RandomStream random,
             ConfigurationHistory history) {
-        this.callers = callers;
-        this.agenda = agenda;
+        this.client = client;
+        this.events = events;
         this.random = random;
         this.history = history;
     }
 
-    public void start() {
+    void start() {
+        read();
+    }
+
+    private void read() {
         var floor = history.floor();
-        callers.call(
+        client.send(
                 new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
-                answer -> {
-                    answer.ifPresent(a -> history.onRead(a.status(), a.text(), floor));
-                    agenda.after(random.between(0, LONGEST_PAUSE_US), this::start);
+                reply -> {
+                    reply.ifPresent(received -> history.onRead(received, floor));
+                    events.after(random.between(0, LONGEST_PAUSE_US), this::read);
                 });
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/workload/RetryingClient.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/RetryingClient.java
@@ -1,137 +1,131 @@
 package martenloom.simulation.workload;
 
-import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
 import martenloom.core.state.ClusterState;
-import martenloom.simulation.cluster.SimulatedMember;
+import martenloom.simulation.cluster.MemberApi;
+import martenloom.simulation.cluster.MemberDirectory;
 import martenloom.simulation.engine.EventQueue;
 import martenloom.simulation.engine.RandomStream;
+import martenloom.simulation.history.CommandReply;
 
 /**
- * The way of a caller to the machines: a call goes to any of them, and after a refusal or a silence
- * the same call goes to another one, with a pause that grows, while the copies sent before are
- * still under way.
+ * Sends commands to the members: to any of them, and after a rejection without an outcome or a
+ * time-out to another one, with a backoff, while the copies sent before are still in flight.
  */
-public final class RetryingClient {
-    private static final long SILENCE_US = 1_000_000;
-    private static final long FIRST_PAUSE_US = 100_000;
-    private static final long LONGEST_PAUSE_US = 800_000;
+final class RetryingClient {
+    private static final long ATTEMPT_TIMEOUT_US = 1_000_000;
+    private static final long FIRST_BACKOFF_US = 100_000;
+    private static final long LONGEST_BACKOFF_US = 800_000;
+    private static final int MOST_ATTEMPTS = 12;
 
-    /** A call is not read later than this: by then its caller has closed the connection. */
-    private static final long LATEST_US = 990_000;
+    private static final long SHORTEST_DELAY_US = 500;
+    private static final long USUAL_DELAY_US = 20_000;
+    private static final long SHORTEST_LATE_DELAY_US = 1_000;
 
-    private static final int MOST_TRIES = 12;
+    /** A request is not read later than this: by then its client has closed the connection. */
+    private static final long LONGEST_LATE_DELAY_US = 990_000;
 
-    /** What a call came to. */
-    public record Answer(int status, String text) {
-        boolean clear() {
-            return status == 200 || status >= 400 && status < 500;
-        }
-    }
+    private static final int LOST_ONE_IN = 3;
+    private static final int LATE_ONE_IN = 4;
 
-    private final EventQueue agenda;
+    private final EventQueue events;
     private final RandomStream random;
-    private final Directory machines;
+    private final MemberDirectory members;
     private boolean lossy;
 
-    /** Finds machines and the processes on them. */
-    public interface Directory {
-        List<String> addresses();
-
-        Optional<SimulatedMember> running(String address);
-    }
-
-    public RetryingClient(EventQueue agenda, RandomStream random, Directory machines) {
-        this.agenda = agenda;
+    RetryingClient(EventQueue events, RandomStream random, MemberDirectory members) {
+        this.events = events;
         this.random = random;
-        this.machines = machines;
+        this.members = members;
     }
 
-    public void setLossy(boolean lossy) {
+    /** Makes requests and replies get lost or come late, or not any longer. */
+    void setLossy(boolean lossy) {
         this.lossy = lossy;
     }
 
-    /** Calls until there is a clear answer; an empty one when the caller gives up. */
-    public void call(ClusterState.Change change, Consumer<Optional<Answer>> done) {
-        new Call(change, done).attempt(1);
+    /**
+     * Sends a command until there is a definite reply; calls back with an empty one when the client
+     * gives up.
+     */
+    void send(ClusterState.Change command, Consumer<Optional<CommandReply>> onDone) {
+        new Call(command, onDone).attempt(1);
     }
 
+    /** One command with all its attempts, of which at most one is awaited. */
     private final class Call {
-        private final ClusterState.Change change;
-        private final Consumer<Optional<Answer>> done;
-        private boolean finished;
-        private int current;
-
-        private Call(ClusterState.Change change, Consumer<Optional<Answer>> done) {
-            this.change = change;
-            this.done = done;
+        private static final int NONE = 0;
+
+        private final ClusterState.Change command;
+        private final Consumer<Optional<CommandReply>> onDone;
+        private boolean done;
+
+        /** The attempt that is awaited, or {@link #NONE} during a backoff. */
+        private int awaited;
+
+        private Call(ClusterState.Change command, Consumer<Optional<CommandReply>> onDone) {
+            this.command = command;
+            this.onDone = onDone;
         }
 
-        private void attempt(int n) {
-            if (n > MOST_TRIES) {
+        private void attempt(int attempt) {
+            if (attempt > MOST_ATTEMPTS) {
                 finish(Optional.empty());
                 return;
             }
-            current = n;
-            var address = random.pick(machines.addresses());
-            agenda.after(wayUs(), () -> arrive(address, n));
-            agenda.after(SILENCE_US, () -> onNothing(n));
+            awaited = attempt;
+            var address = random.pick(members.addresses());
+            events.after(drawDelayUs(), () -> arrive(address, attempt));
+            events.after(ATTEMPT_TIMEOUT_US, () -> onNoOutcome(attempt));
         }
 
-        private void arrive(String address, int n) {
-            var process = lost() ? Optional.<SimulatedMember>empty() : machines.running(address);
-            process.ifPresent(
-                    p ->
-                            p.whenAwake(
-                                    this,
-                                    () ->
-                                            p.onOrder(
-                                                    change,
-                                                    (status, text) ->
-                                                            reply(n, new Answer(status, text)))));
+        private void arrive(String address, int attempt) {
+            var member = drawLoss() ? Optional.<MemberApi>empty() : members.api(address);
+            member.ifPresent(api -> api.submit(this, command, reply -> reply(attempt, reply)));
         }
 
-        private void reply(int n, Answer answer) {
-            if (!lost()) {
-                agenda.after(wayUs(), () -> onReply(n, answer));
+        private void reply(int attempt, CommandReply reply) {
+            if (!drawLoss()) {
+                events.after(drawDelayUs(), () -> onReply(attempt, reply));
             }
         }
 
-        /** An answer that comes after the caller has gone on is not read. */
-        private void onReply(int n, Answer answer) {
-            if (finished || n != current) {
+        /** A reply that comes after the client has given up its attempt is not read. */
+        private void onReply(int attempt, CommandReply reply) {
+            if (done || attempt != awaited) {
                 return;
             }
-            if (answer.clear()) {
-                finish(Optional.of(answer));
+            if (reply.isDefinite()) {
+                finish(Optional.of(reply));
             } else {
-                onNothing(n);
+                onNoOutcome(attempt);
             }
         }
 
-        private void onNothing(int n) {
-            if (!finished && n == current) {
-                current = 0;
-                agenda.after(Math.min(LONGEST_PAUSE_US, FIRST_PAUSE_US * n), () -> attempt(n + 1));
+        private void onNoOutcome(int attempt) {
+            if (!done && attempt == awaited) {
+                awaited = NONE;
+                var backoffUs = Math.min(LONGEST_BACKOFF_US, FIRST_BACKOFF_US * attempt);
+                events.after(backoffUs, () -> attempt(attempt + 1));
             }
         }
 
-        private void finish(Optional<Answer> answer) {
-            if (!finished) {
-                finished = true;
-                done.accept(answer);
+        private void finish(Optional<CommandReply> reply) {
+            if (!done) {
+                done = true;
+                onDone.accept(reply);
             }
         }
     }
 
-    private boolean lost() {
-        return lossy && random.oneIn(3);
+    private boolean drawLoss() {
+        return lossy && random.oneIn(LOST_ONE_IN);
     }
 
-    private long wayUs() {
-        return lossy && random.oneIn(4)
-                ? random.between(1_000, LATEST_US)
-                : random.between(500, 20_000);
+    private long drawDelayUs() {
+        return lossy && random.oneIn(LATE_ONE_IN)
+                ? random.between(SHORTEST_LATE_DELAY_US, LONGEST_LATE_DELAY_US)
+                : random.between(SHORTEST_DELAY_US, USUAL_DELAY_US);
     }
 }
--- a/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
+++ b/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
@@ -15,15 +15,14 @@
 
 /** A failing schedule becomes as short as the fault allows. */
 final class ScheduleShrinkerTest {
-    private static ScheduledFault trouble(int i) {
-        return new ScheduledFault(i * 100, FaultKind.KILL, i % 3, 50, i);
+    private static ScheduledFault fault(int i) {
+        return new ScheduledFault(i * 100, FaultKind.CRASH, i % 3, 50, i);
     }
 
-    /** A day that fails when the troubles of both numbers are in its schedule. */
+    /** A day that fails when the faults of both numbers are in its schedule. */
     private static DayResult run(FaultSchedule schedule, int one, int other) {
         var fails =
-                schedule.troubles().contains(trouble(one))
-                        && schedule.troubles().contains(trouble(other));
+                schedule.faults().contains(fault(one)) && schedule.faults().contains(fault(other));
         var violation = new InvariantViolation(Invariant.ONE_WINNER, "both");
         return new DayResult(
                 schedule, 1, Set.of(), fails ? Optional.of(violation) : Optional.empty());
@@ -31,10 +30,10 @@
 
     @Test
     void onlyWhatTheFaultNeedsIsLeft() {
-        var troubles = IntStream.range(0, 14).mapToObj(ScheduleShrinkerTest::trouble).toList();
-        var failing = run(new FaultSchedule(5, 3, troubles), 2, 11);
+        var faults = IntStream.range(0, 14).mapToObj(ScheduleShrinkerTest::fault).toList();
+        var failing = run(new FaultSchedule(5, 3, faults), 2, 11);
         var shrunk = new ScheduleShrinker(s -> run(s, 2, 11)).shrink(failing);
-        assertEquals(List.of(trouble(2), trouble(11)), shrunk.schedule().troubles());
+        assertEquals(List.of(fault(2), fault(11)), shrunk.schedule().faults());
         assertEquals(5, shrunk.schedule().seed());
     }
 }
--- a/simulation/src/test/java/martenloom/simulation/SimulationTest.java
+++ b/simulation/src/test/java/martenloom/simulation/SimulationTest.java
@@ -41,15 +41,15 @@
     void theSameScheduleComesToTheSameDay() {
         var schedule = FaultSchedule.draw(7, 5, ALL);
         assertEquals(schedule, FaultSchedule.draw(7, 5, ALL));
-        var one = DayResult.run(schedule, STEPS_OF_A_DAY);
-        var other = DayResult.run(schedule, STEPS_OF_A_DAY);
+        var one = SimulatedDay.run(schedule, STEPS_OF_A_DAY);
+        var other = SimulatedDay.run(schedule, STEPS_OF_A_DAY);
         assertEquals(one.steps(), other.steps());
-        assertEquals(one.broughtAbout(), other.broughtAbout());
+        assertEquals(one.injectedKinds(), other.injectedKinds());
     }
 
     @Test
     void aDayIsBoundedInSteps() {
-        var day = DayResult.run(FaultSchedule.draw(7, 3, ALL), 1_000);
+        var day = SimulatedDay.run(FaultSchedule.draw(7, 3, ALL), 1_000);
         assertEquals(1_000, day.steps());
         assertTrue(day.violation().isEmpty());
     }
@@ -60,7 +60,8 @@
             assertEquals(kind, FaultKind.of(kind.word()).orElseThrow());
             var schedule = FaultSchedule.draw(3, 5, List.of(kind));
             assertFalse(
-                    DayResult.run(schedule, STEPS_OF_A_DAY).broughtAbout().isEmpty(), kind::word);
+                    SimulatedDay.run(schedule, STEPS_OF_A_DAY).injectedKinds().isEmpty(),
+                    kind::word);
         }
     }
 }
--- a/simulation/src/test/java/martenloom/simulation/history/HistoriesTest.java
+++ b/simulation/src/test/java/martenloom/simulation/history/HistoriesTest.java
@@ -22,7 +22,7 @@
         assertEquals(invariant, assertThrows(InvariantViolation.class, step).invariant());
     }
 
-    private static ConfigurationHistory.Order order(long base, String note) {
+    private static ConfigurationHistory.Replacement order(long base, String note) {
         var revision = base + 1;
         var body =
                 "{\"Revision\":"
@@ -30,15 +30,15 @@
                         + ",\"Routes\":[],\"Backends\":[],\"Note\":\""
                         + note
                         + "\"}";
-        return new ConfigurationHistory.Order(base, revision, body);
+        return new ConfigurationHistory.Replacement(base, revision, body);
     }
 
     private void commit(Change change) {
         state = state.decide(state.accepted(change)).next.orElseThrow();
     }
 
-    private void commit(ConfigurationHistory.Order order) {
-        commit(new Change(Act.REPLACE, order.base(), "", order.body()));
+    private void commit(ConfigurationHistory.Replacement order) {
+        commit(new Change(Act.REPLACE, order.base(), "", order.json()));
         configurations.onCommitted(state);
     }
 
@@ -51,11 +51,16 @@
         commit(first);
         configurations.onAcknowledged(first);
         commit(second);
-        assertEquals(1, configurations.onRead(200, first.body(), 1), "the second is not known yet");
+        assertEquals(
+                1,
+                configurations.onRead(new CommandReply(200, first.json()), 1),
+                "the second is not known yet");
         configurations.onAcknowledged(second);
-        breaks(Invariant.LINEARIZABLE, () -> configurations.onRead(200, first.body(), 2));
-        breaks(Invariant.LINEARIZABLE, () -> configurations.onRead(404, "", 2));
-        breaks(Invariant.OWN_ANSWER, () -> configurations.onRead(200, "{}", 2));
+        breaks(
+                Invariant.LINEARIZABLE,
+                () -> configurations.onRead(new CommandReply(200, first.json()), 2));
+        breaks(Invariant.LINEARIZABLE, () -> configurations.onRead(new CommandReply(404, ""), 2));
+        breaks(Invariant.OWN_ANSWER, () -> configurations.onRead(new CommandReply(200, "{}"), 2));
     }
 
     @Test
@@ -66,13 +71,17 @@
         configurations.onSent(loser);
         commit(taken);
         breaks(Invariant.OWN_ANSWER, () -> configurations.onAcknowledged(loser));
-        configurations.onRefused(loser, 412, "revision 1 is in place", 0);
+        configurations.onRejected(loser, new CommandReply(412, "revision 1 is in place"), 0);
         breaks(
                 Invariant.REPEATABLE_ORDER,
-                () -> configurations.onRefused(taken, 412, "revision 1 is in place", 0));
+                () ->
+                        configurations.onRejected(
+                                taken, new CommandReply(412, "revision 1 is in place"), 0));
         breaks(
                 Invariant.LINEARIZABLE,
-                () -> configurations.onRefused(loser, 412, "revision 1 is in place", 2));
+                () ->
+                        configurations.onRejected(
+                                loser, new CommandReply(412, "revision 1 is in place"), 2));
     }
 
     @Test
@@ -80,11 +89,11 @@
         evacuations.onSent(ZONE, true);
         commit(new Change(Act.EVAC_START, 0, ZONE, ""));
         evacuations.onCommitted(state);
-        evacuations.onAcknowledged(ZONE, true);
+        evacuations.onAcknowledged(ZONE);
         evacuations.onSent(ZONE, false);
         commit(new Change(Act.EVAC_FINISH, 0, ZONE, ""));
         evacuations.onCommitted(state);
-        evacuations.onAcknowledged(ZONE, false);
+        evacuations.onAcknowledged(ZONE);
         commit(new Change(Act.EVAC_START, 0, ZONE, ""));
         breaks(Invariant.NO_STALE_ORDER, () -> evacuations.onCommitted(state));
     }
