--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -33,8 +33,11 @@
 import martenloom.edge.dispatch.ClientConnection;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.jobs.JobRunner;
-import martenloom.edge.overload.Overload;
+import martenloom.edge.overload.OverloadReport;
+import martenloom.edge.overload.OverloadReportPublisher;
+import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
+import martenloom.edge.replica.WarmupPermits;
 import martenloom.edge.scaling.ScaleRunner;
 import martenloom.routing.language.RoutingLanguage;
 
@@ -82,7 +85,7 @@
     private final LoadView load;
     private final ScaleRunner scaler;
     private int edgesNow;
-    private final OverloadReporting reporting;
+    private final OverloadReportPublisher overloadReports;
     private final RoleLeaseClient duties;
     private Optional<SimpleServer> frontend = Optional.empty();
     private long renewals;
@@ -107,9 +110,12 @@
         duties = new RoleLeaseClient(settings, dispatcher, life);
         home = new HomeConnection(settings, loop, this, this::renewal);
         core = new CoreClient(loop, home);
-        reporting = new OverloadReporting(settings, dispatcher, this::tell);
+        overloadReports =
+                new OverloadReportPublisher(settings, dispatcher, replicaTable, this::publish);
         load = new LoadView(replicaTable, dispatcher, settings.ip, life);
-        scaler = new ScaleRunner(dispatcher, settings.region, scaling, this::orderReplicas);
+        scaler =
+                new ScaleRunner(
+                        dispatcher, replicaTable, settings.region, scaling, this::orderReplicas);
         jobs =
                 new JobRunner(
                         dispatcher,
@@ -214,7 +220,7 @@
         return out.i64(now)
                 .text(duties.holder())
                 .texts(wantedDuties())
-                .texts(replicaTable.coldIn(settings.region, dispatcher.table(), now))
+                .texts(replicaTable.warmingUp(settings.region, dispatcher.table(), now))
                 .bytes();
     }
 
@@ -281,10 +287,12 @@
         home.onCores(in.texts(), staleUs);
         dispatcher.onEdges(mostEdges);
         jobsLive = in.flag();
-        replicaTable.lent(
-                home.ip(),
-                sentUs + in.i64(),
-                in.list(lease -> new ReplicaTable.Leased(lease.text(), lease.i32())));
+        replicaTable
+                .warmupPermits()
+                .onLease(
+                        home.ip(),
+                        sentUs + in.i64(),
+                        in.list(lease -> new WarmupPermits.Permit(lease.text(), lease.i32())));
         mismatches = digest == replicaTable.digest() && newsEdition <= edition ? 0 : mismatches + 1;
         if (mismatches > 2) {
             mismatches = 0;
@@ -304,7 +312,7 @@
         var table = dispatcher.table();
         var known =
                 table.services.keySet().stream()
-                        .allMatch(service -> !replicaTable.of(service).isEmpty());
+                        .allMatch(service -> !replicaTable.ofService(service).isEmpty());
         if (known && home.synced() && upUs > settings.beatMs * 1500L
                 || now - firstNewsUs > 3_000_000) {
             ready = true;
@@ -326,12 +334,12 @@
         var newRevision = in.i64();
         var routingText = in.text();
         var evacuated = in.texts();
-        var placed = new TreeMap<String, ScaleRunner.Placed>();
+        var placed = new TreeMap<String, ReplicaPlacement>();
         in.list(
                 item ->
                         placed.put(
                                 item.text(),
-                                new ScaleRunner.Placed(
+                                new ReplicaPlacement(
                                         item.i32(), item.flag(), new TreeSet<>(item.texts()))));
         if (newEdition <= edition || newRevision < revision) {
             return;
@@ -367,10 +375,10 @@
             var known = new HashSet<String>();
             replicas.forEach(replica -> known.add(replica.id));
             for (var slot : List.copyOf(replicaTable.all())) {
-                if (!known.contains(slot.row.id)
-                        && now - slot.heardUs > 10_000_000
-                        && slot.attempts.isEmpty()) {
-                    replicaTable.drop(slot);
+                if (!known.contains(slot.id())
+                        && now - slot.reachability().heardUs() > 10_000_000
+                        && slot.attemptCount() == 0) {
+                    replicaTable.remove(slot);
                 }
             }
         }
@@ -406,20 +414,20 @@
 
     private void report() {
         var now = Clocks.nowUs();
-        reporting.tick(duties.heldReports(now), now);
+        overloadReports.tick(duties.heldReports(now), now);
     }
 
     /** The home passes a report on to the edges elsewhere, by their homes. */
-    private void tell(Overload.Report report) {
+    private void publish(OverloadReport report) {
         var out = new RecordWriter(RecordType.OVERLOAD_REPORT);
         report.write(out);
         RingLog.note("report " + report);
         home.send(out.bytes());
     }
 
-    private void onReport(Overload.Report report) {
+    private void onReport(OverloadReport report) {
         if (!report.region().equals(settings.region)) {
-            dispatcher.reports.take(report, Clocks.nowUs());
+            dispatcher.reports.onReport(report, Clocks.nowUs());
         }
     }
 
@@ -456,7 +464,7 @@
             case RecordType.JOB_LIST -> onJobs(in);
             case RecordType.ORDER_RESPONSE -> core.onAnswer(link, in);
             case RecordType.TOTAL_LOAD -> load.onWhole(in, Clocks.nowUs());
-            case RecordType.OVERLOAD_REPORT -> onReport(Overload.Report.read(in));
+            case RecordType.OVERLOAD_REPORT -> onReport(OverloadReport.read(in));
             case RecordType.SHELL_QUERY ->
                     link.send(
                             new RecordWriter(RecordType.SHELL_RESPONSE)
