--- a/launcher/src/main/java/martenloom/launcher/Commands.java
+++ b/launcher/src/main/java/martenloom/launcher/Commands.java
@@ -1,21 +1,9 @@
 package martenloom.launcher;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Optional;
-import martenloom.common.error.InvalidConfigurationException;
 import martenloom.common.error.UsageException;
-import martenloom.common.settings.Settings;
-import martenloom.routing.configuration.Configurations;
-import martenloom.routing.language.RoutingLanguage;
-import org.apache.commons.cli.CommandLine;
-import org.apache.commons.cli.DefaultParser;
-import org.apache.commons.cli.Options;
-import org.apache.commons.cli.ParseException;
+import martenloom.shell.Shell;
 
-/** The commands for people: help, version, checks of files, and the shell shell. */
+/** The commands for people: help, version, checks of files, the shell, and the simulation. */
 final class Commands {
     private static final String USAGE =
             """
@@ -35,110 +23,41 @@
 
     private Commands() {}
 
+    /** Runs the command that the arguments name, and returns its exit code. */
     static int run(String[] args) {
-        var o =
-                new Options()
-                        .addOption("h", "help", false, "help")
-                        .addOption("V", "version", false, "version")
-                        .addOption(null, "at", true, "daemon");
-        SimulateCommand.OPTIONS.forEach(name -> o.addOption(null, name, true, "of simulate"));
-        CommandLine c;
-        try {
-            c = new DefaultParser().parse(o, args);
-        } catch (ParseException e) {
-            throw new UsageException("read command line", e.getMessage());
-        }
-        if (c.hasOption("help")) {
+        return run(CommandArguments.parse(args)).code();
+    }
+
+    private static ExitStatus run(CommandArguments arguments) {
+        if (arguments.has("help")) {
             System.out.println(USAGE);
-            return 0;
+            return ExitStatus.SUCCESS;
         }
-        if (c.hasOption("version")) {
+        if (arguments.has("version")) {
             System.out.println("martenloom " + Launcher.VERSION);
-            return 0;
-        }
-        var a = c.getArgList();
-        var verb = a.isEmpty() ? "" : a.get(0);
-        return switch (verb) {
-            case "check-settings" -> settings(file(a));
-            case "check-configuration" -> configuration(file(a));
-            case "check-placement" ->
-                    placement(Optional.ofNullable(c.getOptionValue("at")).orElse(""), a);
-            case "simulate" -> SimulateCommand.run(c);
-            case "shell" ->
-                    martenloom.shell.Shell.run(
-                            Optional.ofNullable(c.getOptionValue("at")).orElse(""),
-                            a.subList(1, a.size()));
-            default ->
-                    throw new UsageException(
-                            "read command line",
-                            (verb.isEmpty()
-                                            ? "a role or command is missing"
-                                            : "'" + verb + "' is no role or command")
-                                    + " (see --help)");
-        };
-    }
-
-    private static String file(List<String> a) {
-        if (a.size() != 2) {
-            throw new UsageException("read command line", a.get(0) + " takes one FILE");
+            return ExitStatus.SUCCESS;
         }
-        return a.get(1);
+        return find(arguments.command()).run(arguments);
     }
 
-    private static int settings(String f) {
-        var p = Settings.load(f);
-        System.out.println(
-                "ok: "
-                        + p.name
-                        + " in "
-                        + p.zone
-                        + "/"
-                        + p.region
-                        + ", serves "
-                        + String.join(",", p.serves));
-        return 0;
-    }
-
-    private static int placement(String at, List<String> a) {
-        if (at.isEmpty()) {
-            return PlacementCheck.run(text("read placement", file(a)));
-        }
-        if (a.size() != 3
-                || !a.get(1).contains("/")
-                || !a.get(2).equals("unload") && !a.get(2).equals("load")) {
-            throw new UsageException(
-                    "read command line",
-                    "check-placement --at IP:PORT takes REGION/MODEL and unload or load");
-        }
-        var r =
-                martenloom.shell.Shell.ask(
-                        Settings.address("--at", at), "would " + a.get(1) + " " + a.get(2));
-        System.out.print(r);
-        return r.startsWith("ok") ? 0 : 1;
+    /** Makes the command of a name; classes of the others are not loaded. */
+    private static Command find(String name) {
+        return switch (name) {
+            case "check-settings" -> new CheckSettingsCommand();
+            case "check-configuration" -> new CheckConfigurationCommand();
+            case "check-placement" -> new CheckPlacementCommand();
+            case "simulate" -> new SimulateCommand();
+            case "shell" -> Commands::runShell;
+            case "" -> throw unknown("a role or command is missing");
+            default -> throw unknown("'" + name + "' is no role or command");
+        };
     }
 
-    private static String text(String step, String f) {
-        try {
-            return Files.readString(Path.of(f));
-        } catch (IOException e) {
-            throw new InvalidConfigurationException(step, f + " cannot be read");
-        }
+    private static UsageException unknown(String reason) {
+        return CommandArguments.usageError(reason + " (see --help)");
     }
 
-    private static int configuration(String f) {
-        var t = text("read configuration", f);
-        var table =
-                f.endsWith(".json")
-                        ? RoutingLanguage.compile(Configurations.replace(t).routingText)
-                        : RoutingLanguage.compile(t);
-        System.out.println(
-                "ok: revision "
-                        + table.revision
-                        + ", "
-                        + table.routes.size()
-                        + " routes, "
-                        + table.services.size()
-                        + " services");
-        return 0;
+    private static ExitStatus runShell(CommandArguments arguments) {
+        return ExitStatus.ofCode(Shell.run(arguments.option("at").orElse(""), arguments.words()));
     }
 }
--- a/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/SimulateCommand.java
@@ -4,88 +4,87 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import martenloom.common.error.MartenloomException;
 import martenloom.common.error.UsageException;
 import martenloom.simulation.Simulation;
 import martenloom.simulation.schedule.FaultKind;
-import org.apache.commons.cli.CommandLine;
 
 /**
- * The command that runs simulated days of the control side: reads its options and says with 0 or 1
- * whether all invariants held.
+ * {@code simulate}: runs simulated days of the control side; it fails when an invariant is broken.
  */
-final class SimulateCommand {
+final class SimulateCommand implements Command {
+    /** The options that only this command has; each takes a value. */
     static final List<String> OPTIONS = List.of("seed", "days", "members", "steps", "kinds");
-    private static final List<Integer> MEMBERS = List.of(3, 5, 9);
-    private static final int USUAL_MEMBERS = 5;
 
-    private SimulateCommand() {}
+    private static final List<Integer> CLUSTER_SIZES = List.of(3, 5, 9);
+    private static final int DEFAULT_CLUSTER_SIZE = 5;
 
-    static int run(CommandLine line) {
-        if (line.getArgList().size() != 1) {
-            throw usage("takes no arguments beside its options");
+    @Override
+    public ExitStatus run(CommandArguments arguments) {
+        if (!arguments.words().isEmpty()) {
+            throw usageError("takes no arguments beside its options");
         }
+        var violation = new Simulation(parse(arguments), System.out).run();
+        return ExitStatus.ofCheck(violation.isEmpty());
+    }
+
+    private static Simulation.Options parse(CommandArguments arguments) {
         var seed =
-                number(line, "seed", Long.MIN_VALUE, Long.MAX_VALUE)
-                        .orElseThrow(() -> usage("--seed: missing"));
+                number(arguments, "seed", Long.MIN_VALUE, Long.MAX_VALUE)
+                        .orElseThrow(() -> usageError("--seed: missing"));
         var days =
-                number(line, "days", 1, Integer.MAX_VALUE)
-                        .orElseThrow(() -> usage("--days: missing"));
+                number(arguments, "days", 1, Integer.MAX_VALUE)
+                        .orElseThrow(() -> usageError("--days: missing"));
         var members =
-                number(line, "members", 1, Integer.MAX_VALUE)
+                number(arguments, "members", 1, Integer.MAX_VALUE)
                         .map(Long::intValue)
-                        .orElse(USUAL_MEMBERS);
-        if (!MEMBERS.contains(members)) {
-            throw usage("--members: " + members + " is none of 3, 5 and 9");
+                        .orElse(DEFAULT_CLUSTER_SIZE);
+        if (!CLUSTER_SIZES.contains(members)) {
+            throw usageError("--members: " + members + " is none of 3, 5 and 9");
         }
-        var steps = number(line, "steps", 1, Long.MAX_VALUE).orElse(Simulation.MOST_STEPS);
-        var options = new Simulation.Options(seed, days.intValue(), members, steps, kinds(line));
-        return new Simulation(options, System.out).run().isPresent() ? 1 : 0;
+        var steps = number(arguments, "steps", 1, Long.MAX_VALUE).orElse(Simulation.MOST_STEPS);
+        return new Simulation.Options(seed, days.intValue(), members, steps, kinds(arguments));
     }
 
-    private static Optional<Long> number(CommandLine line, String option, long least, long most) {
-        return Optional.ofNullable(line.getOptionValue(option))
-                .map(
-                        text -> {
-                            try {
-                                var value = Long.parseLong(text.trim());
-                                if (value < least || value > most) {
-                                    throw usage(
-                                            "--"
-                                                    + option
-                                                    + ": must be between "
-                                                    + least
-                                                    + " and "
-                                                    + most);
-                                }
-                                return value;
-                            } catch (NumberFormatException e) {
-                                throw usage(
-                                        "--" + option + ": '" + text + "' is not a whole number");
-                            }
-                        });
+    private static Optional<Long> number(
+            CommandArguments arguments, String option, long least, long most) {
+        return arguments.option(option).map(text -> parseNumber(option, text, least, most));
     }
 
-    private static List<FaultKind> kinds(CommandLine line) {
-        var words = Optional.ofNullable(line.getOptionValue("kinds"));
-        if (words.isEmpty()) {
-            return List.of(FaultKind.values());
+    private static long parseNumber(String option, String text, long least, long most) {
+        try {
+            var value = Long.parseLong(text.trim());
+            if (value < least || value > most) {
+                throw usageError("--" + option + ": must be between " + least + " and " + most);
+            }
+            return value;
+        } catch (NumberFormatException e) {
+            throw usageError("--" + option + ": '" + text + "' is not a whole number");
         }
-        return Arrays.stream(words.get().split(","))
-                .map(w -> FaultKind.of(w.trim()).orElseThrow(() -> unknown(w)))
+    }
+
+    private static List<FaultKind> kinds(CommandArguments arguments) {
+        return arguments
+                .option("kinds")
+                .map(SimulateCommand::parseKinds)
+                .orElseGet(() -> List.of(FaultKind.values()));
+    }
+
+    private static List<FaultKind> parseKinds(String words) {
+        return Arrays.stream(words.split(","))
+                .map(word -> FaultKind.of(word.trim()).orElseThrow(() -> unknownKind(word)))
                 .distinct()
                 .toList();
     }
 
-    private static MartenloomException unknown(String word) {
+    private static UsageException unknownKind(String word) {
         var known =
                 Arrays.stream(FaultKind.values())
                         .map(FaultKind::word)
                         .collect(Collectors.joining(", "));
-        return usage("--kinds: '" + word + "' is none of " + known);
+        return usageError("--kinds: '" + word + "' is none of " + known);
     }
 
-    private static MartenloomException usage(String why) {
-        return new UsageException("read command line", "simulate " + why);
+    private static UsageException usageError(String reason) {
+        return CommandArguments.usageError("simulate " + reason);
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/CommandsTest.java
+++ b/launcher/src/test/java/martenloom/launcher/CommandsTest.java
@@ -211,12 +211,12 @@
     void changedSettingsAreTakenOverAndUnusableOnesArePassedOver() throws IOException {
         var p = Settings.parse(GOOD);
         var f = Path.of(file("h.toml", GOOD.replace("DrainMs = 2500", "DrainMs = 2600")));
-        var last = new java.util.concurrent.atomic.AtomicReference<>(GOOD);
-        Launcher.reread(p, f, last);
+        var watcher = new SettingsWatcher(p, f, GOOD);
+        watcher.reloadIfChanged();
         assertEquals(2600, p.bounds.drainMs);
         for (var bad : List.of("DrainMs = \"x\"", "DrainMs = [")) {
             Files.writeString(f, GOOD.replace("DrainMs = 2500", bad));
-            Launcher.reread(p, f, last);
+            watcher.reloadIfChanged();
             assertEquals(2600, p.bounds.drainMs, "the old goes on");
             var said =
                     Arrays.stream(martenloom.common.log.RingLog.tail(20).split("\n"))
@@ -225,7 +225,7 @@
             assertFalse(said.isEmpty(), "said in one line");
         }
         Files.delete(f);
-        Launcher.reread(p, f, last);
+        watcher.reloadIfChanged();
         assertEquals(2600, p.bounds.drainMs);
     }
 
--- a/launcher/src/test/java/martenloom/launcher/LeavingTest.java
+++ b/launcher/src/test/java/martenloom/launcher/LeavingTest.java
@@ -10,7 +10,6 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicReference;
 import martenloom.edge.EdgeDaemon;
 import martenloom.launcher.harness.StandInReplica;
 import martenloom.launcher.harness.TestCluster;
@@ -240,7 +239,7 @@
             var file = dir.resolve("settings.toml");
             Files.writeString(
                     file, t.settingsText(0).replace("GracePeriodS = 5", "GracePeriodS = 6"));
-            Launcher.reread(t.settings(0), file, new AtomicReference<>(t.settingsText(0)));
+            new SettingsWatcher(t.settings(0), file, t.settingsText(0)).reloadIfChanged();
             assertEquals(6, t.settings(0).bounds.graceS);
             assertEquals(200, t.request(0, "/safe/x", "h2", "", "").status);
             resume();
