--- a/edge/src/main/java/martenloom/edge/replica/ConnectionPool.java
+++ b/edge/src/main/java/martenloom/edge/replica/ConnectionPool.java
@@ -3,6 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Optional;
+import martenloom.edge.transport.ReplicaConnection;
 
 /**
  * The connections of this edge to one replica: how many are open, which of them are idle, and how
@@ -17,7 +18,7 @@
     /** The part, in tenths, of the idle time of a reset connection that is trusted from then on. */
     private static final int TRUSTED_TENTHS = 6;
 
-    private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
+    private final ArrayDeque<ReplicaConnection> idle = new ArrayDeque<>();
     private int openConnections;
     private long idleTrustUs = UNLIMITED_US;
 
@@ -42,12 +43,12 @@
     }
 
     /** Adds an idle connection, which is used before the others. */
-    public void addIdle(PooledConnection connection) {
+    public void addIdle(ReplicaConnection connection) {
         idle.addFirst(connection);
     }
 
     /** Removes a connection that is no longer idle. */
-    public void removeIdle(PooledConnection connection) {
+    public void removeIdle(ReplicaConnection connection) {
         idle.remove(connection);
     }
 
@@ -57,7 +58,7 @@
      *
      * @param trustUs how long a connection may have been idle
      */
-    public Optional<PooledConnection> takeIdle(String requestId, long trustUs, long now) {
+    public Optional<ReplicaConnection> takeIdle(String requestId, long trustUs, long now) {
         for (var i = idle.iterator(); i.hasNext(); ) {
             var connection = i.next();
             if (connection.lastCarried(requestId)) {
@@ -83,7 +84,7 @@
 
     /** Closes all idle connections. */
     public void closeIdle() {
-        List.copyOf(idle).forEach(PooledConnection::close);
+        List.copyOf(idle).forEach(ReplicaConnection::close);
     }
 
     /**
--- a/edge/src/main/java/martenloom/edge/replica/RoutingView.java
+++ b/edge/src/main/java/martenloom/edge/replica/RoutingView.java
@@ -12,5 +12,18 @@
     RouteTable table();
 
     /** The zones from which requests are kept away. */
-    Set<String> evacuated();
+    Set<String> evacuatedZones();
+
+    /** Whether a replica is an engine that serves a model. */
+    default boolean servesModel(ReplicaEndpoint replica, String model) {
+        var service = table().services.get(replica.service());
+        return service != null && service.engine && service.model.equals(model);
+    }
+
+    /** Whether a replica takes requests, as far as the registry and the evacuations go. */
+    default boolean isInService(ReplicaEndpoint replica) {
+        return replica.isAvailable()
+                && !replica.isDeregistered()
+                && !evacuatedZones().contains(replica.zone());
+    }
 }
--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveTraining.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveTraining.java
@@ -16,7 +16,7 @@
 import martenloom.common.error.MartenloomException;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 
 /**
@@ -87,7 +87,7 @@
                 startLoop(
                         "core",
                         loop -> {
-                            var store = new VersionedStore.RealFolder(core.dataDir);
+                            var store = new FileSystemFolder(core.dataDir);
                             new CoreDaemon(core, loop, store).start();
                         });
         var startedEdge = new CompletableFuture<EdgeDaemon>();
--- a/launcher/src/main/java/martenloom/launcher/RoleRunner.java
+++ b/launcher/src/main/java/martenloom/launcher/RoleRunner.java
@@ -11,7 +11,7 @@
 import martenloom.common.error.UsageException;
 import martenloom.common.settings.Settings;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 
 /**
@@ -78,7 +78,7 @@
         settings.need("Readiness");
         var daemon = new EdgeDaemon(settings, loop, scaling);
         loop.execute(() -> startOrHalt(() -> daemon.start()));
-        Runtime.getRuntime().addShutdownHook(new Thread(daemon::leave, "leave"));
+        Runtime.getRuntime().addShutdownHook(new Thread(daemon::shutDown, "leave"));
     }
 
     private static void startCore(Settings settings, Eventloop loop) throws IOException {
@@ -87,7 +87,7 @@
             throw new InvalidSettingsException(
                     "check settings", "DataDirectory: missing, and this role needs it");
         }
-        var store = new VersionedStore.RealFolder(settings.dataDir);
+        var store = new FileSystemFolder(settings.dataDir);
         var daemon = new CoreDaemon(settings, loop, store);
         loop.execute(() -> startOrHalt(() -> daemon.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::leave, "leave"));
--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandApi.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandApi.java
@@ -1,6 +1,8 @@
 package martenloom.simulation.cluster;
 
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
 import martenloom.simulation.history.CommandReply;
 
 /**
@@ -19,7 +21,7 @@
         this.forwarder = forwarder;
     }
 
-    void submit(ClusterState.Change command, ReplyCallback callback) {
+    void submit(Command command, ReplyCallback callback) {
         if (member.isLeaving()) {
             callback.onReply(CommandReply.unavailable("this daemon is leaving"));
             return;
@@ -27,7 +29,7 @@
         attempt(member.chain().committed().accepted(command), member.nowUs(), callback);
     }
 
-    private void attempt(ClusterState.Change command, long acceptedAtUs, ReplyCallback callback) {
+    private void attempt(StampedCommand command, long acceptedAtUs, ReplyCallback callback) {
         forwarder.forward(
                 command,
                 reply -> {
@@ -42,7 +44,7 @@
 
     /** A client is not told that its command was stale: it may send the command again. */
     private static CommandReply forClient(CommandReply reply) {
-        return reply.status() == ClusterState.STALE_ORDER
+        return reply.code() == ResultCode.STALE_ORDER
                 ? CommandReply.unavailable(reply.text())
                 : reply;
     }
--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
@@ -7,7 +7,8 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.StampedCommand;
 import martenloom.simulation.history.CommandReply;
 import martenloom.simulation.network.SimulatedConnection;
 
@@ -34,7 +35,7 @@
     }
 
     /** Hands a command to the head, wherever it is. */
-    void forward(ClusterState.Change command, ReplyCallback callback) {
+    void forward(StampedCommand command, ReplyCallback callback) {
         var chain = member.chain();
         if (chain.heading()) {
             submitHere(command, callback);
@@ -48,17 +49,17 @@
         var id =
                 remoteRequests.open(
                         head.get(),
-                        (status, text) -> callback.onReply(new CommandReply(status, text)));
+                        (status, text) -> callback.onReply(CommandReply.ofNumber(status, text)));
         var record = new RecordWriter(RecordType.ORDER_REQUEST);
         id.write(record);
-        command.write(record);
+        CommandCodec.write(record, command);
         head.get().send(record.bytes());
         member.after(
                 RESPONSE_TIMEOUT_US, () -> remoteRequests.expire(id, "no answer from the head"));
     }
 
     /** Hands a command to the chain of this member. */
-    void submitHere(ClusterState.Change command, ReplyCallback callback) {
+    void submitHere(StampedCommand command, ReplyCallback callback) {
         var id = ++lastLocalId;
         localRequests.put(id, callback);
         member.chain().onAsk(member.nowUs(), id, command);
@@ -77,14 +78,14 @@
     /** A command that another member forwards to this one. */
     void onRequest(SimulatedConnection connection, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        submitHere(ClusterState.Change.read(in), reply -> respond(connection, id, reply));
+        submitHere(CommandCodec.read(in), reply -> respond(connection, id, reply));
     }
 
     private static void respond(
             SimulatedConnection connection, PendingRequests.RequestId id, CommandReply reply) {
         var record = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(record);
-        connection.answer(record.i32(reply.status()).text(reply.text()).bytes());
+        connection.answer(record.i32(reply.code().number()).text(reply.text()).bytes());
     }
 
     /** The head's response to a command that was forwarded from here. */
--- a/simulation/src/main/java/martenloom/simulation/cluster/GracefulShutdown.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/GracefulShutdown.java
@@ -1,7 +1,9 @@
 package martenloom.simulation.cluster;
 
 import martenloom.core.chain.ChainMember;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.MarkDeparting;
+import martenloom.core.state.Command.Urgency;
+import martenloom.core.state.StampedCommand;
 
 /**
  * What a member does after SIGTERM: has itself removed from the chain, repeating the command until
@@ -44,9 +46,8 @@
             return;
         }
         var urgent = member.nowUs() - startedAtUs >= URGENT_AFTER_US;
-        var urgency = urgent ? ClusterState.LEAVE_NOW : ClusterState.LEAVE_SOON;
-        var command =
-                new ClusterState.Change(ClusterState.Act.LEAVE, urgency, member.address(), "");
+        var urgency = urgent ? Urgency.IMMEDIATE : Urgency.CAN_WAIT;
+        var command = StampedCommand.of(new MarkDeparting(member.address(), urgency));
         forwarder.forward(command, reply -> acknowledged |= reply.isSuccess());
         member.after(REPEAT_US, () -> leave(onEnd));
     }
--- a/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
@@ -34,7 +34,7 @@
     void request(LeaseRequest request, LeaseGrantCallback callback) {
         var role = request.role();
         callbacksByCandidate.put(request.candidate(), callback);
-        if (!isHolder(request)) {
+        if (!member.chain().committed().leases().isHeldBy(role, request.candidate())) {
             if (member.nowUs() - challengedAtUs.getOrDefault(role, 0L) < CHALLENGE_INTERVAL_US) {
                 return;
             }
@@ -43,15 +43,9 @@
         forward(request);
     }
 
-    private boolean isHolder(LeaseRequest request) {
-        return Optional.ofNullable(member.chain().committed().duties.get(request.role()))
-                .filter(lease -> lease.holder.equals(request.candidate()))
-                .isPresent();
-    }
-
     private void forward(LeaseRequest request) {
         if (member.chain().heading()) {
-            leases.want(
+            leases.request(
                     request.role(),
                     request.candidate(),
                     request.requestedAtUs(),
@@ -69,7 +63,7 @@
 
     /** A request that another member forwards to this one. */
     void onRequest(SimulatedConnection connection, RecordReader in) {
-        leases.want(in.text(), in.text(), in.i64(), connection::answer);
+        leases.request(in.text(), in.text(), in.i64(), connection::answer);
     }
 
     /** A grant counts only when it comes from the present head and no newer one is known. */
@@ -88,7 +82,7 @@
         var role = in.text();
         var fencingToken = in.i64();
         var requestedAtUs = in.i64();
-        if (!member.chain().committed().overtaken(role, fencingToken)) {
+        if (!member.chain().committed().leases().isSuperseded(role, fencingToken)) {
             Optional.ofNullable(callbacksByCandidate.get(candidate))
                     .ifPresent(callback -> callback.onGranted(fencingToken, requestedAtUs));
         }
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
@@ -11,6 +11,7 @@
 import martenloom.core.chain.ChainMember;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
 import martenloom.core.storage.VersionedStore;
 import martenloom.simulation.engine.RandomStream;
 import martenloom.simulation.history.CommandReply;
@@ -56,7 +57,7 @@
         var persisted = store.load().map(ChainMember.MemberState::of);
         if (persisted.isEmpty() && bootstrap && seeds.contains(address)) {
             persisted = Optional.of(foundingState(seeds));
-            store.keep(persisted.get().bytes());
+            store.write(persisted.get().bytes());
         }
         chain =
                 new ChainMember(
@@ -69,12 +70,12 @@
                         chain,
                         (command, reply) ->
                                 forwarder.submitHere(
-                                        command, done -> reply.accept(done.status(), done.text())),
+                                        command, done -> reply.accept(done.code(), done.text())),
                         this::nowUs);
         leases = new LeaseForwarder(this, leaseService);
         shutdown = new GracefulShutdown(this, forwarder);
         chain.onLeastRoster(environment.minimumRosterSize());
-        persisted.ifPresent(found -> found.state.roster.forEach(this::addPeer));
+        persisted.ifPresent(found -> found.state.roster().members().forEach(this::addPeer));
         seeds.forEach(this::addPeer);
         after(random.between(0, TICK_US), this::tick);
         after(random.between(0, HELLO_US), this::sayHello);
@@ -103,12 +104,12 @@
     public boolean headsAll(int members) {
         return chain.heading()
                 && chain.chain().size() == members
-                && chain.committed().roster.size() == members;
+                && chain.committed().roster().members().size() == members;
     }
 
     /** The edition that this member has committed last. */
     public long committedEdition() {
-        return chain.committed().edition;
+        return chain.committed().edition();
     }
 
     /** The state of the chain in one line, for the report of a violation. */
@@ -121,7 +122,7 @@
                 + " edition "
                 + committedEdition()
                 + " roster "
-                + chain.memberState().state.roster
+                + chain.memberState().state.roster().members()
                 + "; ";
     }
 
@@ -157,7 +158,7 @@
     }
 
     private void tick() {
-        peers.addAll(chain.committed().roster);
+        peers.addAll(chain.committed().roster().members());
         peers.remove(address);
         environment.network().maintain(this, peers);
         chain.onKnown(peers);
@@ -188,7 +189,7 @@
 
     /** The roster and who is reached beside it. */
     private Set<String> knownMembers() {
-        var members = new TreeSet<>(chain.committed().roster);
+        var members = new TreeSet<>(chain.committed().roster().members());
         peers.stream().filter(peer -> connection(peer).isPresent()).forEach(members::add);
         members.add(address);
         return members;
@@ -234,7 +235,7 @@
     // ---- clients
 
     @Override
-    public void submit(Object client, ClusterState.Change command, ReplyCallback callback) {
+    public void submit(Object client, Command command, ReplyCallback callback) {
         process.run(client, () -> commands.submit(command, callback));
     }
 
@@ -265,7 +266,7 @@
     }
 
     private void complete(ChainMember.Answer answer) {
-        var reply = new CommandReply(answer.status(), answer.text());
+        var reply = new CommandReply(answer.code(), answer.text());
         if (reply.isSuccess()) {
             environment.invariants().onAcknowledged(chain.view(), address, startedUs);
         }
--- a/simulation/src/main/java/martenloom/simulation/cluster/StateWriter.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/StateWriter.java
@@ -63,7 +63,7 @@
         }
         var write = queue.peek();
         try {
-            store.keep(write.memberState().bytes());
+            store.write(write.memberState().bytes());
         } catch (MartenloomException refused) {
             events.after(RETRY_US, this::finishWrite);
             return;
@@ -83,7 +83,7 @@
         }
         machine.disk().endProcessAfter(random.below(MOST_STEPS_AT_END));
         try {
-            store.keep(queue.peek().memberState().bytes());
+            store.write(queue.peek().memberState().bytes());
         } catch (ProcessEndedException | MartenloomException unfinished) {
             // This is the fault to be injected: the write stays as incomplete as it is.
         }
--- a/simulation/src/main/java/martenloom/simulation/disk/SimulatedDisk.java
+++ b/simulation/src/main/java/martenloom/simulation/disk/SimulatedDisk.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.regex.Pattern;
 import martenloom.common.error.StorageException;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.StorageFolder;
 import martenloom.simulation.engine.RandomStream;
 
 /**
@@ -17,7 +17,7 @@
  * is kept or lost by itself; contents that were not synced are present, missing or torn. The
  * process may be made to end between any two steps of an operation.
  */
-public final class SimulatedDisk implements VersionedStore.Folder {
+public final class SimulatedDisk implements StorageFolder {
     private static final Pattern VERSION_FILE = Pattern.compile(".*-[0-9a-f]{16}");
     private static final int UNSYNCED_OUTCOMES = 3;
 
--- a/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.ResultCode;
 
 /**
  * The calls on the configuration, as one register with versions. Since versions only rise, a
@@ -59,8 +60,8 @@
 
     /** A state was committed for the first time. */
     void onCommitted(ClusterState state) {
-        var revision = state.revision;
-        var json = state.json;
+        var revision = state.configuration().revision();
+        var json = state.configuration().json();
         if (revision == 0) {
             return;
         }
@@ -82,11 +83,13 @@
 
     /** Two neighbouring editions: the configuration moves on from its base, or stays. */
     void onNext(ClusterState before, ClusterState after) {
-        var replaced = after.revision != before.revision;
-        var sent = sentByJson.get(after.json);
+        var base = before.configuration().revision();
+        var json = after.configuration().json();
+        var replaced = after.configuration().revision() != base;
+        var sent = sentByJson.get(json);
         Invariant.ONE_WINNER.check(
-                !replaced || sent != null && sent.base == before.revision,
-                "revision " + before.revision + " is followed by " + after.json);
+                !replaced || sent != null && sent.base == base,
+                "revision " + base + " is followed by " + json);
     }
 
     /** A client was told that its replacement is in force. */
@@ -112,9 +115,9 @@
     public void onRejected(Replacement replacement, CommandReply reply, long floorAtStart) {
         var json = replacement.json;
         Invariant.REPEATABLE_ORDER.check(
-                reply.isPreconditionFailed(),
+                reply.code() == ResultCode.PRECONDITION_FAILED,
                 "a valid configuration is refused with "
-                        + reply.status()
+                        + reply.code()
                         + " "
                         + reply.text()
                         + ": "
@@ -137,7 +140,7 @@
      */
     public long onRead(CommandReply reply, long floorAtStart) {
         var json = reply.text();
-        var revision = reply.isNotFound() ? 0 : revisionOf(json);
+        var revision = reply.code() == ResultCode.NOT_FOUND ? 0 : revisionOf(json);
         Invariant.LINEARIZABLE.check(
                 revision >= floorAtStart,
                 "revision " + revision + " is read after " + floorAtStart + " was known");
--- a/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
@@ -47,7 +47,7 @@
         var register = registers.get(zone);
         register.inFlight = false;
         register.acknowledged = true;
-        register.editionAtAcknowledgement = newest.edition;
+        register.editionAtAcknowledgement = newest.edition();
         Invariant.OWN_ANSWER.check(
                 register.wantedStateSeen,
                 "zone "
@@ -63,7 +63,7 @@
                         + " is acknowledged as "
                         + word(register.evacuationWanted)
                         + ", but edition "
-                        + newest.edition
+                        + newest.edition()
                         + " undoes it");
     }
 
@@ -74,7 +74,7 @@
 
     /** A state was committed for the first time. */
     void onCommitted(ClusterState state) {
-        if (state.edition > newest.edition) {
+        if (state.edition() > newest.edition()) {
             newest = state;
         }
         registers.forEach((zone, register) -> check(zone, register, state));
@@ -86,7 +86,7 @@
         var settled =
                 register.acknowledged
                         && !register.inFlight
-                        && state.edition > register.editionAtAcknowledgement;
+                        && state.edition() > register.editionAtAcknowledgement;
         Invariant.NO_STALE_ORDER.check(
                 wanted || !settled,
                 "zone "
@@ -94,12 +94,12 @@
                         + " was acknowledged as "
                         + word(register.evacuationWanted)
                         + ", and edition "
-                        + state.edition
+                        + state.edition()
                         + " undoes it");
     }
 
     private static boolean isEvacuated(ClusterState state, String zone) {
-        return state.evacuated.contains(zone);
+        return state.evacuations().zones().contains(zone);
     }
 
     private static String word(boolean evacuated) {
--- a/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
+++ b/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
@@ -42,25 +42,25 @@
 
     /** A member has committed a state. */
     public void onCommitted(String address, ClusterState state) {
-        if (state.edition == 0) {
+        if (state.edition() == 0) {
             return;
         }
         var bytes = state.bytes();
-        var known = bytesByEdition.putIfAbsent(state.edition, bytes);
+        var known = bytesByEdition.putIfAbsent(state.edition(), bytes);
         if (known == null) {
-            stateByEdition.put(state.edition, state);
+            stateByEdition.put(state.edition(), state);
             onNewEdition(state);
         } else if (!Arrays.equals(known, bytes)) {
             throw new InvariantViolation(
                     Invariant.ONE_STATE_PER_EDITION,
-                    address + " commits another state under edition " + state.edition);
+                    address + " commits another state under edition " + state.edition());
         }
     }
 
     private void onNewEdition(ClusterState state) {
-        var before = stateByEdition.get(state.edition - 1);
+        var before = stateByEdition.get(state.edition() - 1);
         if (before != null) {
-            checkRosters(before.roster, state.roster);
+            checkRosters(before.roster().members(), state.roster().members());
             configurations.onNext(before, state);
             leases.onNext(before, state);
         }
--- a/simulation/src/main/java/martenloom/simulation/history/LeaseHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/LeaseHistory.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
+import martenloom.core.state.RoleLease;
 
 /**
  * The leases as their holders see them: one holder at a time, and fencing tokens that only rise.
@@ -42,20 +43,20 @@
      * holder.
      */
     void onNext(ClusterState before, ClusterState after) {
-        after.duties.forEach(
-                (role, lease) -> {
-                    var former = before.duties.get(role);
-                    var token = former == null ? 0 : former.grant;
-                    var renewed = former != null && former.holder.equals(lease.holder);
-                    Invariant.FENCED_LEASE.check(
-                            lease.grant == (renewed ? token : token + 1),
-                            role
-                                    + ": grant "
-                                    + token
-                                    + " is followed by grant "
-                                    + lease.grant
-                                    + " of "
-                                    + lease.holder);
-                });
+        after.leases().byRole().forEach((role, lease) -> checkNext(role, before, lease));
+    }
+
+    private static void checkNext(String role, ClusterState before, RoleLease lease) {
+        var token = before.leases().newestToken(role);
+        var renewed = before.leases().isHeldBy(role, lease.holder());
+        Invariant.FENCED_LEASE.check(
+                lease.fencingToken() == (renewed ? token : token + 1),
+                role
+                        + ": grant "
+                        + token
+                        + " is followed by grant "
+                        + lease.fencingToken()
+                        + " of "
+                        + lease.holder());
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/workload/ConfigurationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/ConfigurationOperator.java
@@ -1,7 +1,8 @@
 package martenloom.simulation.workload;
 
 import java.util.Optional;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.ReadConfiguration;
+import martenloom.core.state.Command.ReplaceConfiguration;
 import martenloom.simulation.engine.EventQueue;
 import martenloom.simulation.engine.RandomStream;
 import martenloom.simulation.history.CommandReply;
@@ -50,7 +51,7 @@
     private void read() {
         var floor = history.floor();
         client.send(
-                new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
+                new ReadConfiguration(),
                 reply -> {
                     if (reply.isPresent()) {
                         goOn(history.onRead(reply.get(), floor));
@@ -108,8 +109,7 @@
     private void send(Replacement replacement) {
         var floor = history.floor();
         client.send(
-                new ClusterState.Change(
-                        ClusterState.Act.REPLACE, replacement.base(), "", replacement.json()),
+                new ReplaceConfiguration(replacement.base(), replacement.json()),
                 reply -> onReply(replacement, floor, reply));
     }
 
--- a/simulation/src/main/java/martenloom/simulation/workload/ConfigurationReader.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/ConfigurationReader.java
@@ -1,6 +1,6 @@
 package martenloom.simulation.workload;
 
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.ReadConfiguration;
 import martenloom.simulation.engine.EventQueue;
 import martenloom.simulation.engine.RandomStream;
 import martenloom.simulation.history.ConfigurationHistory;
@@ -32,7 +32,7 @@
     private void read() {
         var floor = history.floor();
         client.send(
-                new ClusterState.Change(ClusterState.Act.READ, 0, "", ""),
+                new ReadConfiguration(),
                 reply -> {
                     reply.ifPresent(received -> history.onRead(received, floor));
                     events.after(random.between(0, LONGEST_PAUSE_US), this::read);
--- a/simulation/src/main/java/martenloom/simulation/workload/EvacuationOperator.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/EvacuationOperator.java
@@ -1,7 +1,8 @@
 package martenloom.simulation.workload;
 
 import java.util.Optional;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.StartEvacuation;
 import martenloom.simulation.engine.EventQueue;
 import martenloom.simulation.engine.RandomStream;
 import martenloom.simulation.history.CommandReply;
@@ -37,10 +38,10 @@
     }
 
     private void send(boolean evacuate) {
-        var act = evacuate ? ClusterState.Act.EVAC_START : ClusterState.Act.EVAC_FINISH;
+        var command = evacuate ? new StartEvacuation(zone) : new FinishEvacuation(zone);
         history.onSent(zone, evacuate);
         client.send(
-                new ClusterState.Change(act, 0, zone, ""),
+                command,
                 reply -> {
                     onReply(reply);
                     events.after(random.between(0, LONGEST_PAUSE_US), () -> send(!evacuate));
--- a/simulation/src/main/java/martenloom/simulation/workload/RetryingClient.java
+++ b/simulation/src/main/java/martenloom/simulation/workload/RetryingClient.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import martenloom.core.state.ClusterState;
+import martenloom.core.state.Command;
 import martenloom.simulation.cluster.MemberApi;
 import martenloom.simulation.cluster.MemberDirectory;
 import martenloom.simulation.engine.EventQueue;
@@ -49,7 +49,7 @@
      * Sends a command until there is a definite reply; calls back with an empty one when the client
      * gives up.
      */
-    void send(ClusterState.Change command, Consumer<Optional<CommandReply>> onDone) {
+    void send(Command command, Consumer<Optional<CommandReply>> onDone) {
         new Call(command, onDone).attempt(1);
     }
 
@@ -57,14 +57,14 @@
     private final class Call {
         private static final int NONE = 0;
 
-        private final ClusterState.Change command;
+        private final Command command;
         private final Consumer<Optional<CommandReply>> onDone;
         private boolean done;
 
         /** The attempt that is awaited, or {@link #NONE} during a backoff. */
         private int awaited;
 
-        private Call(ClusterState.Change command, Consumer<Optional<CommandReply>> onDone) {
+        private Call(Command command, Consumer<Optional<CommandReply>> onDone) {
             this.command = command;
             this.onDone = onDone;
         }
--- a/simulation/src/test/java/martenloom/simulation/history/HistoriesTest.java
+++ b/simulation/src/test/java/martenloom/simulation/history/HistoriesTest.java
@@ -5,8 +5,12 @@
 
 import java.util.List;
 import martenloom.core.state.ClusterState;
-import martenloom.core.state.ClusterState.Act;
-import martenloom.core.state.ClusterState.Change;
+import martenloom.core.state.Command;
+import martenloom.core.state.Command.FinishEvacuation;
+import martenloom.core.state.Command.GrantLease;
+import martenloom.core.state.Command.ReplaceConfiguration;
+import martenloom.core.state.Command.StartEvacuation;
+import martenloom.core.state.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
@@ -33,12 +37,12 @@
         return new ConfigurationHistory.Replacement(base, revision, body);
     }
 
-    private void commit(Change change) {
-        state = state.decide(state.accepted(change)).next.orElseThrow();
+    private void commit(Command command) {
+        state = state.decide(state.accepted(command)).next().orElseThrow();
     }
 
     private void commit(ConfigurationHistory.Replacement order) {
-        commit(new Change(Act.REPLACE, order.base(), "", order.json()));
+        commit(new ReplaceConfiguration(order.base(), order.json()));
         configurations.onCommitted(state);
     }
 
@@ -53,14 +57,18 @@
         commit(second);
         assertEquals(
                 1,
-                configurations.onRead(new CommandReply(200, first.json()), 1),
+                configurations.onRead(new CommandReply(ResultCode.OK, first.json()), 1),
                 "the second is not known yet");
         configurations.onAcknowledged(second);
         breaks(
                 Invariant.LINEARIZABLE,
-                () -> configurations.onRead(new CommandReply(200, first.json()), 2));
-        breaks(Invariant.LINEARIZABLE, () -> configurations.onRead(new CommandReply(404, ""), 2));
-        breaks(Invariant.OWN_ANSWER, () -> configurations.onRead(new CommandReply(200, "{}"), 2));
+                () -> configurations.onRead(new CommandReply(ResultCode.OK, first.json()), 2));
+        breaks(
+                Invariant.LINEARIZABLE,
+                () -> configurations.onRead(new CommandReply(ResultCode.NOT_FOUND, ""), 2));
+        breaks(
+                Invariant.OWN_ANSWER,
+                () -> configurations.onRead(new CommandReply(ResultCode.OK, "{}"), 2));
     }
 
     @Test
@@ -71,30 +79,39 @@
         configurations.onSent(loser);
         commit(taken);
         breaks(Invariant.OWN_ANSWER, () -> configurations.onAcknowledged(loser));
-        configurations.onRejected(loser, new CommandReply(412, "revision 1 is in place"), 0);
+        configurations.onRejected(
+                loser,
+                new CommandReply(ResultCode.PRECONDITION_FAILED, "revision 1 is in place"),
+                0);
         breaks(
                 Invariant.REPEATABLE_ORDER,
                 () ->
                         configurations.onRejected(
-                                taken, new CommandReply(412, "revision 1 is in place"), 0));
+                                taken,
+                                new CommandReply(
+                                        ResultCode.PRECONDITION_FAILED, "revision 1 is in place"),
+                                0));
         breaks(
                 Invariant.LINEARIZABLE,
                 () ->
                         configurations.onRejected(
-                                loser, new CommandReply(412, "revision 1 is in place"), 2));
+                                loser,
+                                new CommandReply(
+                                        ResultCode.PRECONDITION_FAILED, "revision 1 is in place"),
+                                2));
     }
 
     @Test
     void aCopyThatUndoesAnAcknowledgedOrderIsNamed() {
         evacuations.onSent(ZONE, true);
-        commit(new Change(Act.EVAC_START, 0, ZONE, ""));
+        commit(new StartEvacuation(ZONE));
         evacuations.onCommitted(state);
         evacuations.onAcknowledged(ZONE);
         evacuations.onSent(ZONE, false);
-        commit(new Change(Act.EVAC_FINISH, 0, ZONE, ""));
+        commit(new FinishEvacuation(ZONE));
         evacuations.onCommitted(state);
         evacuations.onAcknowledged(ZONE);
-        commit(new Change(Act.EVAC_START, 0, ZONE, ""));
+        commit(new StartEvacuation(ZONE));
         breaks(Invariant.NO_STALE_ORDER, () -> evacuations.onCommitted(state));
     }
 
@@ -105,7 +122,7 @@
         breaks(Invariant.FENCED_LEASE, () -> leases.onGranted("k", "y", 2, 2_000_000, 2_000_010));
         leases.onGranted("k", "y", 2, 4_000_000, 4_000_010);
         var before = state;
-        commit(new Change(Act.DUTY, 0, "k", "x"));
+        commit(new GrantLease("k", 0, "x"));
         leases.onNext(before, state);
         breaks(
                 Invariant.FENCED_LEASE,
@@ -113,7 +130,7 @@
     }
 
     private ClusterState twice() {
-        commit(new Change(Act.DUTY, 1, "k", "y"));
+        commit(new GrantLease("k", 1, "y"));
         return state;
     }
 }
