--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveTraining.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveTraining.java
@@ -34,12 +34,18 @@
     private static final int REPLACE_ATTEMPTS = 20;
 
     private static final String HEARTBEAT =
-            "{\"Backend\":\"s\",\"Address\":\"127.0.0.3:9\",\"Zone\":\"z\",\"State\":\"ready\",\"Sequence\":1}";
+            """
+            {"Backend":"s","Address":"127.0.0.3:9","Zone":"z","State":"ready","Sequence":1}\
+            """;
 
     private static final String CONFIGURATION =
-            "{\"Revision\":1,\"Routes\":[{\"Name\":\"r\",\"Hostname\":\"h\",\"PathPrefix\":\"/a/\",\"RouteType\":\"idempotent\",\"TimeoutMs\":900,"
-                + "\"TargetLatencyMs\":500,\"Priority\":0,\"Backend\":\"s\",\"MaxAttempts\":1}],\"Backends\":[{\"Name\":\"s\",\"HealthPath\":\"/h\",\"MaxConnections\":9,\"InferenceEngine\":"
-                + "{\"Capacity\":2,\"CacheTokens\":9,\"Models\":[{\"Name\":\"m\"}]}}]}";
+            """
+            {"Revision":1,"Routes":[{"Name":"r","Hostname":"h","PathPrefix":"/a/",\
+            "RouteType":"idempotent","TimeoutMs":900,"TargetLatencyMs":500,"Priority":0,\
+            "Backend":"s","MaxAttempts":1}],"Backends":[{"Name":"s","HealthPath":"/h",\
+            "MaxConnections":9,"InferenceEngine":{"Capacity":2,"CacheTokens":9,\
+            "Models":[{"Name":"m"}]}}]}\
+            """;
 
     private final TrainingAddresses addresses;
     private final Path directory;
--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
@@ -14,9 +14,9 @@
 
 /**
  * Carries commands from the member that a client reached to the head of the chain, and the replies
- * back. It repeats what the core daemon's class of this name does, since that one is built on the
- * event loop, the sockets of the peer links and the daemon's settings, none of which exist here;
- * the matching of requests and responses is the daemon's own {@link PendingRequests}.
+ * back. It repeats {@code martenloom.core.forwarding.CommandForwarder}, which cannot be used here:
+ * it is built on the event loop's clock and posts, the sockets of the peer links and the daemon's
+ * settings. The matching of requests and responses is the daemon's own {@link PendingRequests}.
  */
 final class CommandForwarder {
     private static final long RESPONSE_TIMEOUT_US = 2_500_000;
@@ -38,7 +38,7 @@
     void forward(StampedCommand command, ReplyCallback callback) {
         var chain = member.chain();
         if (chain.heading()) {
-            submitHere(command, callback);
+            submitLocally(command, callback);
             return;
         }
         var head = member.connection(chain.head());
@@ -59,7 +59,7 @@
     }
 
     /** Hands a command to the chain of this member. */
-    void submitHere(StampedCommand command, ReplyCallback callback) {
+    void submitLocally(StampedCommand command, ReplyCallback callback) {
         var id = ++lastLocalId;
         localRequests.put(id, callback);
         member.chain().onAsk(member.nowUs(), id, command);
@@ -78,7 +78,7 @@
     /** A command that another member forwards to this one. */
     void onRequest(SimulatedConnection connection, RecordReader in) {
         var id = PendingRequests.RequestId.read(in);
-        submitHere(CommandCodec.read(in), reply -> respond(connection, id, reply));
+        submitLocally(CommandCodec.read(in), reply -> respond(connection, id, reply));
     }
 
     private static void respond(
--- a/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
@@ -11,8 +11,9 @@
 
 /**
  * Carries candidates' requests for a lease from their home to the head of the chain, and the grants
- * back. It repeats what the core daemon does on its peer links, which need sockets and an event
- * loop; who is granted what is decided by the daemon's own {@link RoleLeaseService}.
+ * back. It repeats {@code martenloom.core.forwarding.LeaseRelay}, which cannot be used here: it is
+ * built on the links to peers and edges, which are sockets. Who is granted what is decided by the
+ * daemon's own {@link RoleLeaseService}.
  */
 final class LeaseForwarder {
     /** Requests of candidates that do not hold the lease are forwarded no more often than this. */
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
@@ -69,7 +69,7 @@
                 new RoleLeaseService(
                         chain,
                         (command, reply) ->
-                                forwarder.submitHere(
+                                forwarder.submitLocally(
                                         command, done -> reply.accept(done.code(), done.text())),
                         this::nowUs);
         leases = new LeaseForwarder(this, leaseService);
