--- a/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
+++ b/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
@@ -15,8 +15,8 @@
 
 /** A failing schedule becomes as short as the fault allows. */
 final class ScheduleShrinkerTest {
-    private static ScheduledFault fault(int i) {
-        return new ScheduledFault(i * 100, FaultKind.CRASH, i % 3, 50, i);
+    private static ScheduledFault fault(int number) {
+        return new ScheduledFault(number * 100, FaultKind.CRASH, number % 3, 50, number);
     }
 
     /** A day that fails when the faults of both numbers are in its schedule. */
@@ -32,7 +32,7 @@
     void onlyWhatTheFaultNeedsIsLeft() {
         var faults = IntStream.range(0, 14).mapToObj(ScheduleShrinkerTest::fault).toList();
         var failing = run(new FaultSchedule(5, 3, faults), 2, 11);
-        var shrunk = new ScheduleShrinker(s -> run(s, 2, 11)).shrink(failing);
+        var shrunk = new ScheduleShrinker(schedule -> run(schedule, 2, 11)).shrink(failing);
         assertEquals(List.of(fault(2), fault(11)), shrunk.schedule().faults());
         assertEquals(5, shrunk.schedule().seed());
     }
--- a/simulation/src/test/java/martenloom/simulation/SimulationTest.java
+++ b/simulation/src/test/java/martenloom/simulation/SimulationTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theSameScheduleComesToTheSameDay() {
+    void theSameScheduleGivesTheSameDay() {
         var schedule = FaultSchedule.draw(7, 5, ALL);
         assertEquals(schedule, FaultSchedule.draw(7, 5, ALL));
         var one = SimulatedDay.run(schedule, STEPS_OF_A_DAY);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void everyKindIsBroughtAboutAndNamed() {
+    void everyKindIsInjectedAndNamed() {
         for (var kind : FaultKind.values()) {
             assertEquals(kind, FaultKind.of(kind.word()).orElseThrow());
             var schedule = FaultSchedule.draw(3, 5, List.of(kind));
