--- a/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
+++ b/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
@@ -22,7 +22,7 @@
     }
 
     public void tick(long now) {
-        if (chain.heading() && chain.committed().jobs().live() > 0 && now - writtenUs > WRITE_US) {
+        if (chain.isHead() && chain.committed().jobs().live() > 0 && now - writtenUs > WRITE_US) {
             writtenUs = now;
             var order = StampedCommand.of(new Command.AdvanceJobClock());
             orders.submitLocally(order, (code, text) -> {});
--- a/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
+++ b/core/src/main/java/martenloom/core/lease/RoleLeaseService.java
@@ -88,7 +88,7 @@
 
     /** Decides the requests that can be decided now. */
     public void tick(long nowUs) {
-        if (!chain.heading()) {
+        if (!chain.isHead()) {
             requests.clear();
             renewedUs.clear();
             return;
@@ -105,7 +105,7 @@
     private void decide(LeaseRequest request, long nowUs) {
         var lease = chain.committed().leases().find(request.role);
         if (lease.isPresent() && lease.get().holder().equals(request.candidate)) {
-            if (chain.provenUs() > request.receivedUs) {
+            if (chain.majorityProvenUs() > request.receivedUs) {
                 renewedUs.put(request.role, nowUs);
                 requests.remove(request.role);
                 sendGrant(request, lease.get().fencingToken());
@@ -120,7 +120,7 @@
 
     /** A former head may have renewed the lease until this member took over. */
     private long lastRenewalUs(String role) {
-        return Math.max(renewedUs.getOrDefault(role, 0L), chain.headingSinceUs());
+        return Math.max(renewedUs.getOrDefault(role, 0L), chain.headSinceUs());
     }
 
     private void writeGrant(LeaseRequest request, long newestToken) {
--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
@@ -37,12 +37,12 @@
     /** Hands a command to the head, wherever it is. */
     void forward(StampedCommand command, ReplyCallback callback) {
         var chain = member.chain();
-        if (chain.heading()) {
+        if (chain.isHead()) {
             submitLocally(command, callback);
             return;
         }
         var head = member.connection(chain.head());
-        if (head.isEmpty() || !chain.fresh(member.nowUs())) {
+        if (head.isEmpty() || !chain.isFresh(member.nowUs())) {
             callback.onReply(CommandReply.unavailable("no head is known"));
             return;
         }
@@ -62,7 +62,7 @@
     void submitLocally(StampedCommand command, ReplyCallback callback) {
         var id = ++lastLocalId;
         localRequests.put(id, callback);
-        member.chain().onAsk(member.nowUs(), id, command);
+        member.chain().submit(member.nowUs(), id, command);
     }
 
     /** The chain's reply to a command that was handed to it here. */
--- a/simulation/src/main/java/martenloom/simulation/cluster/GracefulShutdown.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/GracefulShutdown.java
@@ -1,6 +1,6 @@
 package martenloom.simulation.cluster;
 
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.MemberRole;
 import martenloom.core.state.Command.MarkDeparting;
 import martenloom.core.state.Command.Urgency;
 import martenloom.core.state.StampedCommand;
@@ -35,7 +35,7 @@
         if (!started) {
             started = true;
             startedAtUs = member.nowUs();
-            member.chain().onLeave(member.nowUs());
+            member.chain().startLeaving(member.nowUs());
             leave(onEnd);
         }
     }
@@ -54,7 +54,7 @@
 
     private boolean mayEnd() {
         var chain = member.chain();
-        var announced = acknowledged || chain.mode() == ChainMember.Mode.LEARNING;
-        return announced && chain.released(member.nowUs());
+        var announced = acknowledged || chain.role() == MemberRole.LEARNER;
+        return announced && chain.mayTerminate(member.nowUs());
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/LeaseForwarder.java
@@ -45,7 +45,7 @@
     }
 
     private void forward(LeaseRequest request) {
-        if (member.chain().heading()) {
+        if (member.chain().isHead()) {
             leases.request(
                     request.role(),
                     request.candidate(),
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedCluster.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedCluster.java
@@ -99,7 +99,7 @@
     }
 
     private boolean isHead(String address) {
-        return running(address).filter(member -> member.chain().heading()).isPresent();
+        return running(address).filter(member -> member.chain().isHead()).isPresent();
     }
 
     /** The running members of the slots, one after the other in words. */
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMember.java
@@ -8,7 +8,10 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
+import martenloom.core.chain.Ballot;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.lease.RoleLeaseService;
 import martenloom.core.state.ClusterState;
 import martenloom.core.state.Command;
@@ -54,10 +57,10 @@
         process = new SimulatedProcess(environment.events(), random, this::carryOutEffects);
         var store = new VersionedStore(machine.disk());
         var seeds = environment.seedAddresses();
-        var persisted = store.load().map(ChainMember.MemberState::of);
+        var persisted = store.load().map(PersistentMemberState::decode);
         if (persisted.isEmpty() && bootstrap && seeds.contains(address)) {
             persisted = Optional.of(foundingState(seeds));
-            store.write(persisted.get().bytes());
+            store.write(persisted.get().encode());
         }
         chain =
                 new ChainMember(
@@ -74,16 +77,15 @@
                         this::nowUs);
         leases = new LeaseForwarder(this, leaseService);
         shutdown = new GracefulShutdown(this, forwarder);
-        chain.onLeastRoster(environment.minimumRosterSize());
-        persisted.ifPresent(found -> found.state.roster().members().forEach(this::addPeer));
+        chain.setMinimumRosterSize(environment.minimumRosterSize());
+        persisted.ifPresent(found -> found.state().roster().members().forEach(this::addPeer));
         seeds.forEach(this::addPeer);
         after(random.between(0, TICK_US), this::tick);
         after(random.between(0, HELLO_US), this::sayHello);
     }
 
-    private static ChainMember.MemberState foundingState(List<String> founders) {
-        return new ChainMember.MemberState(
-                ChainMember.Ballot.ZERO, ChainMember.Ballot.ZERO, ClusterState.founded(founders));
+    private static PersistentMemberState foundingState(List<String> founders) {
+        return new PersistentMemberState(Ballot.ZERO, Ballot.ZERO, ClusterState.founded(founders));
     }
 
     @Override
@@ -102,7 +104,7 @@
 
     /** Whether this member heads a chain of all members of a cluster of the given size. */
     public boolean headsAll(int members) {
-        return chain.heading()
+        return chain.isHead()
                 && chain.chain().size() == members
                 && chain.committed().roster().members().size() == members;
     }
@@ -116,13 +118,13 @@
     public String describe() {
         return address
                 + " "
-                + chain.mode()
+                + chain.role().label()
                 + " view "
                 + chain.view()
                 + " edition "
                 + committedEdition()
                 + " roster "
-                + chain.memberState().state.roster().members()
+                + chain.memberState().state().roster().members()
                 + "; ";
     }
 
@@ -161,7 +163,7 @@
         peers.addAll(chain.committed().roster().members());
         peers.remove(address);
         environment.network().maintain(this, peers);
-        chain.onKnown(peers);
+        chain.setKnownMembers(peers);
         chain.onTick(nowUs());
         carryOutEffects();
         leaseService.tick(nowUs());
@@ -228,7 +230,7 @@
             case RecordType.ORDER_RESPONSE -> forwarder.onResponse(connection, in);
             case RecordType.LEASE_REQUEST -> leases.onRequest(connection, in);
             case RecordType.LEASE_GRANT -> leases.onGrant(connection, in);
-            default -> chain.onRecord(nowUs(), connection.peerOf(this).address(), record);
+            default -> chain.onMessage(nowUs(), connection.peerOf(this).address(), record);
         }
     }
 
@@ -247,25 +249,27 @@
     // ---- effects of the chain
 
     private void carryOutEffects() {
-        for (var effects = chain.drain(); !effects.isEmpty(); effects = chain.drain()) {
+        for (var effects = chain.drainEffects();
+                !effects.isEmpty();
+                effects = chain.drainEffects()) {
             effects.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command effect) {
-        if (effect instanceof ChainMember.Send send) {
+    private void carryOut(ChainEffect effect) {
+        if (effect instanceof ChainEffect.SendMessage send) {
             addPeer(send.to());
             environment.network().send(this, send.to(), send.record());
-        } else if (effect instanceof ChainMember.Store write) {
+        } else if (effect instanceof ChainEffect.PersistState write) {
             writer.enqueue(write);
-        } else if (effect instanceof ChainMember.Answer answer) {
+        } else if (effect instanceof ChainEffect.CompleteRequest answer) {
             complete(answer);
-        } else if (effect instanceof ChainMember.Committed committed) {
+        } else if (effect instanceof ChainEffect.StateCommitted committed) {
             environment.invariants().onCommitted(address, committed.state());
         }
     }
 
-    private void complete(ChainMember.Answer answer) {
+    private void complete(ChainEffect.CompleteRequest answer) {
         var reply = new CommandReply(answer.code(), answer.text());
         if (reply.isSuccess()) {
             environment.invariants().onAcknowledged(chain.view(), address, startedUs);
@@ -274,6 +278,6 @@
     }
 
     private void onPersisted(long token) {
-        process.run(writer, () -> chain.onStored(nowUs(), token));
+        process.run(writer, () -> chain.onPersisted(nowUs(), token));
     }
 }
--- a/simulation/src/main/java/martenloom/simulation/cluster/StateWriter.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/StateWriter.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.function.LongConsumer;
 import martenloom.common.error.MartenloomException;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.storage.VersionedStore;
 import martenloom.simulation.disk.ProcessEndedException;
 import martenloom.simulation.engine.EventQueue;
@@ -25,7 +25,7 @@
     private final EventQueue events;
     private final VersionedStore store;
     private final LongConsumer onPersisted;
-    private final Deque<ChainMember.Store> queue = new ArrayDeque<>();
+    private final Deque<ChainEffect.PersistState> queue = new ArrayDeque<>();
     private boolean ended;
 
     /**
@@ -42,7 +42,7 @@
         this.onPersisted = onPersisted;
     }
 
-    void enqueue(ChainMember.Store write) {
+    void enqueue(ChainEffect.PersistState write) {
         queue.add(write);
         if (queue.size() == 1) {
             beginWrite();
@@ -63,7 +63,7 @@
         }
         var write = queue.peek();
         try {
-            store.write(write.memberState().bytes());
+            store.write(write.memberState().encode());
         } catch (MartenloomException refused) {
             events.after(RETRY_US, this::finishWrite);
             return;
@@ -83,7 +83,7 @@
         }
         machine.disk().endProcessAfter(random.below(MOST_STEPS_AT_END));
         try {
-            store.write(queue.peek().memberState().bytes());
+            store.write(queue.peek().memberState().encode());
         } catch (ProcessEndedException | MartenloomException unfinished) {
             // This is the fault to be injected: the write stays as incomplete as it is.
         }
--- a/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
+++ b/simulation/src/main/java/martenloom/simulation/history/InvariantChecker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.Ballot;
 import martenloom.core.state.ClusterState;
 
 /**
@@ -18,7 +18,7 @@
 
     private final TreeMap<Long, ClusterState> stateByEdition = new TreeMap<>();
     private final Map<Long, byte[]> bytesByEdition = new HashMap<>();
-    private final Map<ChainMember.Ballot, Acknowledger> acknowledgerByView = new HashMap<>();
+    private final Map<Ballot, Acknowledger> acknowledgerByView = new HashMap<>();
     private final ConfigurationHistory configurations = new ConfigurationHistory();
     private final EvacuationHistory evacuations = new EvacuationHistory();
     private final LeaseHistory leases = new LeaseHistory();
@@ -81,7 +81,7 @@
     }
 
     /** A member has acknowledged a command as the head of a view. */
-    public void onAcknowledged(ChainMember.Ballot view, String address, long incarnation) {
+    public void onAcknowledged(Ballot view, String address, long incarnation) {
         var acknowledger = new Acknowledger(address, incarnation);
         var known = acknowledgerByView.putIfAbsent(view, acknowledger);
         if (known != null && !known.equals(acknowledger)) {
