--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandApi.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandApi.java
@@ -42,7 +42,7 @@
                 });
     }
 
-    /** A client is not told that its command was stale: it may send the command again. */
+    /** A stale command has done nothing: its client may send it again. */
     private static CommandReply forClient(CommandReply reply) {
         return reply.code() == ResultCode.STALE_ORDER
                 ? CommandReply.unavailable(reply.text())
--- a/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMachine.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/SimulatedMachine.java
@@ -42,7 +42,7 @@
         member = Optional.of(new SimulatedMember(this, environment, bootstrap));
     }
 
-    /** Ends the member at once; tells whether one was running. */
+    /** Ends the member at once; returns whether one was running. */
     public boolean kill() {
         var killed = member;
         member = Optional.empty();
--- a/simulation/src/main/java/martenloom/simulation/faults/FaultInjector.java
+++ b/simulation/src/main/java/martenloom/simulation/faults/FaultInjector.java
@@ -47,7 +47,7 @@
         workload.setLossy(false);
     }
 
-    /** Injects a fault; tells whether it was, which is not so beyond the tolerated losses. */
+    /** Injects a fault, unless it goes beyond the tolerated losses; returns whether it did. */
     public boolean inject(ScheduledFault fault) {
         var target = target(fault);
         var slot = fault.slot();
--- a/simulation/src/main/java/martenloom/simulation/faults/MachineFaults.java
+++ b/simulation/src/main/java/martenloom/simulation/faults/MachineFaults.java
@@ -5,7 +5,7 @@
 import martenloom.simulation.cluster.SimulatedCluster;
 import martenloom.simulation.engine.EventQueue;
 
-/** Faults of processes and disks. Each method tells whether there was something to inject. */
+/** Faults of processes and disks. Each method returns whether the fault was injected. */
 final class MachineFaults {
     static final long SHORTEST_DOWNTIME_US = 100_000;
 
--- a/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/ConfigurationHistory.java
@@ -92,7 +92,7 @@
                 "revision " + base + " is followed by " + json);
     }
 
-    /** A client was told that its replacement is in force. */
+    /** A replacement was acknowledged to its client. */
     public void onAcknowledged(Replacement replacement) {
         Invariant.OWN_ANSWER.check(
                 isCommitted(replacement), "acknowledged but not committed: " + replacement.json);
@@ -108,7 +108,7 @@
     }
 
     /**
-     * A client was told that its replacement is rejected.
+     * A replacement was rejected, and its client has received the reply.
      *
      * @param floorAtStart the floor as the call began
      */
--- a/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
+++ b/simulation/src/main/java/martenloom/simulation/history/EvacuationHistory.java
@@ -32,7 +32,7 @@
     private final Map<String, ZoneRegister> registers = new HashMap<>();
     private ClusterState newest = ClusterState.founded(List.of());
 
-    /** A client is about to send a command. */
+    /** The client of a zone is about to send a command. */
     public void onSent(String zone, boolean evacuated) {
         var register = registers.computeIfAbsent(zone, name -> new ZoneRegister());
         register.previousAcknowledged = register.acknowledged;
@@ -42,7 +42,7 @@
         register.acknowledged = false;
     }
 
-    /** A client was told that its newest command was carried out. */
+    /** The newest command of a zone was acknowledged to its client. */
     public void onAcknowledged(String zone) {
         var register = registers.get(zone);
         register.inFlight = false;
@@ -67,7 +67,7 @@
                         + " undoes it");
     }
 
-    /** A client does not wait for the outcome of its newest command any longer. */
+    /** The client of a zone has given up its newest command, whose outcome is not known. */
     public void onGivenUp(String zone) {
         registers.get(zone).inFlight = false;
     }
