--- a/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
+++ b/core/src/main/java/martenloom/core/configuration/CompiledRoutes.java
@@ -12,7 +12,7 @@
     private RouteTable table = RouteTable.EMPTY;
 
     public RouteTable of(ClusterState state) {
-        if (table.revision != state.configuration().revision()) {
+        if (table.revision() != state.configuration().revision()) {
             table = RoutingLanguage.compile(state.configuration().routingText());
         }
         return table;
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -71,12 +71,12 @@
      */
     public boolean run() {
         var done = new CountDownLatch(1);
-        var graceUs = (long) (settings.bounds.graceS * 1_000_000);
+        var graceUs = (long) (settings.bounds().gracePeriodS() * 1_000_000);
         urgentUs = Clocks.nowUs() + (long) (graceUs * WAITS_SHARE);
         endUs = Clocks.nowUs() + graceUs - END_US;
         loop.execute(
                 () -> {
-                    RingLog.note("leaving");
+                    RingLog.debug("leaving");
                     begun = true;
                     chain.startLeaving(Clocks.nowUs());
                     step(done);
@@ -93,13 +93,13 @@
         var now = Clocks.nowUs();
         if (mayEnd(now) || now >= endUs) {
             var how = releasedUs > 0 ? "in order" : "at the end of the grace period";
-            RingLog.note("left " + how);
+            RingLog.debug("left " + how);
             done.countDown();
             return;
         }
         if (releasedUs == 0) {
             var urgency = now < urgentUs ? Urgency.CAN_WAIT : Urgency.IMMEDIATE;
-            var order = StampedCommand.of(new MarkDeparting(settings.ip, urgency));
+            var order = StampedCommand.of(new MarkDeparting(settings.ipAddress(), urgency));
             orders.submit(order, (code, text) -> taken |= code == ResultCode.OK);
         }
         Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
--- a/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/MemberStateGoldenTest.java
@@ -14,6 +14,8 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobState;
 import martenloom.core.chain.Ballot;
 import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.state.ClusterState;
@@ -142,14 +144,14 @@
     /** A submitted job as the control API writes it. */
     private static String job() {
         var job = new Job();
-        job.id = "job-1";
-        job.region = "north";
-        job.host = "h.example";
-        job.path = "/a/b";
-        job.body = PART;
-        job.dueUs = 60_000_000;
+        job.setId("job-1");
+        job.setRegion("north");
+        job.setHost("h.example");
+        job.setPath("/a/b");
+        job.setBody(PART);
+        job.setDeadlineUs(60_000_000);
         var fields = new RecordWriter();
-        job.write(fields);
+        JobCodec.write(job, fields);
         return body(fields);
     }
 
@@ -220,16 +222,16 @@
         assertEquals(Map.of("north/m", (1L << 32) + 5), state.scaling().scalerOrders().bySubject());
         assertEquals(9_000_000, state.jobs().clockUs());
         assertEquals(
-                EnumSet.allOf(Job.State.class),
+                EnumSet.allOf(JobState.class),
                 state.jobs().byId().values().stream()
-                        .map(job -> job.state)
+                        .map(job -> job.state())
                         .collect(Collectors.toSet()));
         var running = state.jobs().byId().get("job-running");
-        assertEquals("event-3", running.lastEvent);
-        assertEquals(10, running.kept.length);
-        assertEquals("first, second", new String(state.jobs().byId().get("job-done").result));
-        assertTrue(state.jobs().byId().get("job-confirmed").confirmed);
-        assertEquals("no room, süd", state.jobs().byId().get("job-back").why);
+        assertEquals("event-3", running.lastEventId());
+        assertEquals(10, running.checkpoint().length);
+        assertEquals("first, second", new String(state.jobs().byId().get("job-done").result()));
+        assertTrue(state.jobs().byId().get("job-confirmed").confirmed());
+        assertEquals("no room, süd", state.jobs().byId().get("job-back").reason());
     }
 
     @Test
--- a/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
@@ -15,6 +15,7 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.golden.GoldenFile;
 import martenloom.core.storage.FileSystemFolder;
 import martenloom.core.storage.VersionedStore;
@@ -32,7 +33,7 @@
     private static final long COLD_US = 600_000;
     private static final long FLUSH_MS = 10_000;
     private static final Settings SETTINGS =
-            Settings.parse(
+            SettingsFile.parse(
                     """
                     NodeName = "core-1"
                     IpAddress = "10.0.0.1"
@@ -65,11 +66,11 @@
         var out = new RecordWriter().i32(in.i32()).i32(in.i32());
         var replicas = in.list(x -> ReplicaRecord.read(x, 0));
         for (var replica : replicas) {
-            replica.warmAtUs = 0;
-            replica.heardUs = 0;
-            replica.silent = false;
-            if (replica.leavesAtUs != Long.MAX_VALUE) {
-                replica.leavesAtUs = 0;
+            replica.setWarmFromUs(0);
+            replica.setLastHeartbeatUs(0);
+            replica.setUnreachable(false);
+            if (replica.drainDeadlineUs() != Long.MAX_VALUE) {
+                replica.setDrainDeadlineUs(0);
             }
         }
         return out.list(replicas, (o, replica) -> replica.write(o, 0)).bytes();
@@ -86,37 +87,41 @@
         assertEquals(3, checkpoint.mostHomes());
         var replicas =
                 registry.replicas().stream()
-                        .collect(Collectors.toMap(replica -> replica.id, replica -> replica));
+                        .collect(Collectors.toMap(replica -> replica.id(), replica -> replica));
         assertEquals(
                 List.of("draining", "ended", "never-heard", "running", "silent", "warming"),
-                registry.replicas().stream().map(replica -> replica.id).toList());
+                registry.replicas().stream().map(replica -> replica.id()).toList());
         assertRunning(replicas, beforeUs, afterUs);
-        assertTrue(replicas.get("draining").draining);
-        assertFalse(replicas.get("draining").gone);
-        assertTrue(replicas.get("draining").leavesAtUs >= beforeUs + 28_000_000);
-        assertTrue(replicas.get("draining").leavesAtUs <= afterUs + 28_000_000);
-        assertFalse(replicas.get("silent").silent, "a restart forgets that");
-        assertTrue(replicas.get("warming").warmAtUs >= beforeUs + 7_000_000);
-        assertTrue(replicas.get("ended").gone);
-        assertEquals(42, replicas.get("ended").seq);
-        assertTrue(replicas.get("ended").heardUs <= afterUs - 2_000_000, "its age is kept");
-        assertTrue(replicas.get("never-heard").gone);
-        assertEquals("", replicas.get("never-heard").service);
+        assertTrue(replicas.get("draining").draining());
+        assertFalse(replicas.get("draining").ended());
+        assertTrue(replicas.get("draining").drainDeadlineUs() >= beforeUs + 28_000_000);
+        assertTrue(replicas.get("draining").drainDeadlineUs() <= afterUs + 28_000_000);
+        assertFalse(replicas.get("silent").unreachable(), "a restart forgets that");
+        assertTrue(replicas.get("warming").warmFromUs() >= beforeUs + 7_000_000);
+        assertTrue(replicas.get("ended").ended());
+        assertEquals(42, replicas.get("ended").sequence());
+        assertTrue(
+                replicas.get("ended").lastHeartbeatUs() <= afterUs - 2_000_000, "its age is kept");
+        assertTrue(replicas.get("never-heard").ended());
+        assertEquals("", replicas.get("never-heard").service());
     }
 
     private static void assertRunning(
             Map<String, ReplicaRecord> replicas, long beforeUs, long afterUs) {
         var running = replicas.get("running");
-        assertEquals("s", running.service);
-        assertEquals("10.0.0.9:8080", running.address);
-        assertEquals("north-a", running.zone);
-        assertEquals(8, running.capacity);
-        assertEquals(41, running.seq);
-        assertFalse(running.draining);
-        assertFalse(running.gone);
-        assertEquals(Long.MAX_VALUE, running.leavesAtUs);
-        assertTrue(running.heardUs >= beforeUs && running.heardUs <= afterUs);
-        assertEquals(running.heardUs + COLD_US, running.warmAtUs, "cold until its next beat");
+        assertEquals("s", running.service());
+        assertEquals("10.0.0.9:8080", running.address());
+        assertEquals("north-a", running.zone());
+        assertEquals(8, running.capacity());
+        assertEquals(41, running.sequence());
+        assertFalse(running.draining());
+        assertFalse(running.ended());
+        assertEquals(Long.MAX_VALUE, running.drainDeadlineUs());
+        assertTrue(running.lastHeartbeatUs() >= beforeUs && running.lastHeartbeatUs() <= afterUs);
+        assertEquals(
+                running.lastHeartbeatUs() + COLD_US,
+                running.warmFromUs(),
+                "cold until its next beat");
     }
 
     @Test
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestScheduler.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestScheduler.java
@@ -91,7 +91,7 @@
             return request.totalTimeUs() / 2;
         }
         return Math.min(
-                request.route().aimUs / MAX_WAIT_OF_LATENCY,
+                request.route().latencyTargetUs() / MAX_WAIT_OF_LATENCY,
                 request.totalTimeUs() / MAX_WAIT_OF_TIME);
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
@@ -39,7 +39,7 @@
         if (request.streaming()) {
             return Decision.ABORT_STREAM;
         }
-        var repeatable = request.route().repeatable();
+        var repeatable = request.route().retriable();
         if (HttpStatus.isServerError(status) && repeatable && !attemptsExhausted(request)) {
             return Decision.RETRY;
         }
@@ -65,10 +65,10 @@
         if (failure == Attempt.Failure.UNSENT) {
             return expired ? Decision.EXPIRE : Decision.RETRY_UNSENT;
         }
-        if (failure == Attempt.Failure.TRUNCATED && !request.route().resumable) {
+        if (failure == Attempt.Failure.TRUNCATED && !request.route().resumable()) {
             return Decision.ABORT_STREAM;
         }
-        if (failure != Attempt.Failure.REJECTED && !request.route().repeatable()) {
+        if (failure != Attempt.Failure.REJECTED && !request.route().retriable()) {
             return Decision.FAIL_MAY_HAVE_RUN;
         }
         if (attemptsExhausted(request)) {
@@ -78,7 +78,7 @@
     }
 
     private static boolean attemptsExhausted(Request request) {
-        return request.attemptsMade() >= request.route().tries;
+        return request.attemptsMade() >= request.route().maxAttempts();
     }
 
     /**
@@ -87,15 +87,15 @@
     static boolean mayMove(Attempt attempt, long nowUs) {
         var request = attempt.request();
         return !request.done()
-                && request.route().repeatable()
+                && request.route().retriable()
                 && !attempt.connecting()
                 && !attempt.over()
-                && request.attemptsMade() + 1 < request.route().tries
+                && request.attemptsMade() + 1 < request.route().maxAttempts()
                 && nowUs - attempt.sentUs() >= LEAST_AGE_TO_MOVE_US;
     }
 
     /** Whether a request that cannot be sent now may wait for another attempt. */
     static boolean mayWaitForRetry(Request request) {
-        return request.attemptsMade() == 0 || !request.mayHaveRun() || request.route().repeatable();
+        return request.attemptsMade() == 0 || !request.mayHaveRun() || request.route().retriable();
     }
 }
--- a/edge/src/main/java/martenloom/edge/jobs/JobListing.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobListing.java
@@ -1,7 +1,7 @@
 package martenloom.edge.jobs;
 
 import martenloom.common.codec.RecordReader;
-import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobUrgency;
 
 /**
  * What the home says of one job of the region that is not over.
@@ -32,6 +32,6 @@
 
     /** How urgent the job is, from 0 to 3. */
     int urgency() {
-        return Job.urgency(leftUs, totalUs);
+        return JobUrgency.of(leftUs, totalUs);
     }
 }
--- a/edge/src/main/java/martenloom/edge/jobs/JobRun.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRun.java
@@ -73,11 +73,11 @@
         this.scheduler = scheduler;
         this.owner = owner;
         fencingToken = lease.fencingToken();
-        savedBytes = job.kept.length;
+        savedBytes = job.checkpoint().length;
     }
 
     String jobId() {
-        return job.id;
+        return job.id();
     }
 
     /** The fencing token under which the run began. */
@@ -87,7 +87,7 @@
 
     /** The number of the run among those of its job. */
     int number() {
-        return job.runs;
+        return job.attempts();
     }
 
     /** The request that was started for the run, if one could be. */
@@ -163,7 +163,7 @@
 
     /** Saves what was not saved, if the job can be resumed; one report at a time. */
     void saveOutput() {
-        if (over || saving || !job.resumable || output.size() == 0 || request.isEmpty()) {
+        if (over || saving || !job.resumable() || output.size() == 0 || request.isEmpty()) {
             return;
         }
         saving = true;
@@ -229,9 +229,9 @@
     }
 
     private void logEnd(String kind, CoreReply reply) {
-        RingLog.note(
+        RingLog.debug(
                 "job "
-                        + job.id
+                        + job.id()
                         + " "
                         + kind
                         + ": "
--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -12,6 +12,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
 import martenloom.common.log.RingLog;
 import martenloom.edge.dispatch.RequestDispatcher;
 import martenloom.edge.home.CoreReply;
@@ -103,7 +104,7 @@
 
     @Override
     public void abandon(JobRun run, String reason) {
-        RingLog.note("job " + run.jobId() + " is abandoned: " + reason);
+        RingLog.debug("job " + run.jobId() + " is abandoned: " + reason);
         runs.remove(run.jobId());
         run.abandon();
         run.request().ifPresent(dispatcher::cancelJob);
@@ -195,34 +196,36 @@
         pending.remove(listing.id());
         if (reply.isAccepted() && !reply.text().isEmpty() && lease.isHeldWith(fencingToken)) {
             var encoded = Base64.getDecoder().decode(reply.text());
-            run(Job.read(new RecordReader(encoded, false)), urgency, listing.leftUs());
+            run(JobCodec.read(new RecordReader(encoded, false)), urgency, listing.leftUs());
         }
     }
 
     private void run(Job job, int urgency, long leftUs) {
         var run = new JobRun(job, lease, reports, scheduler, this);
-        runs.put(job.id, run);
-        ran.add(job.id);
+        runs.put(job.id(), run);
+        ran.add(job.id());
         started++;
         var head = requestHead(job, run.fencingToken(), leftUs);
-        run.setRequest(dispatcher.startJob(head, job.body, run, urgency, job.lastEvent));
+        run.setRequest(dispatcher.startJob(head, job.body(), run, urgency, job.lastEventId()));
         if (run.request().isEmpty()) {
             run.reportFailure(RunFailure.NOT_RUN, "no room when it was to start");
         }
     }
 
     private static MessageHead requestHead(Job job, long fencingToken, long leftUs) {
-        var head = MessageHead.newRequest(job.method, job.path);
-        head.set(HeaderField.HOST, job.host);
-        for (var field : job.fields) {
+        var head = MessageHead.newRequest(job.method(), job.path());
+        head.set(HeaderField.HOST, job.host());
+        for (var field : job.headerFields()) {
             var colon = field.indexOf(':');
             head.set(field.substring(0, colon), field.substring(colon + 1).strip());
         }
-        head.set(HeaderField.ATTEMPT_ID, "job-" + job.id + "-" + fencingToken + "-" + job.runs);
+        head.set(
+                HeaderField.ATTEMPT_ID,
+                "job-" + job.id() + "-" + fencingToken + "-" + job.attempts());
         head.set(
                 HeaderField.TIME_REMAINING,
                 String.valueOf(Math.max(MIN_TIME_REMAINING_MS, leftUs / 1000)));
-        head.set(HeaderField.CONTENT_LENGTH, String.valueOf(job.body.length));
+        head.set(HeaderField.CONTENT_LENGTH, String.valueOf(job.body().length));
         return head;
     }
 
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaTable.java
@@ -79,9 +79,9 @@
     public List<String> warmingUp(String region, RouteTable table, long now) {
         var ids = new ArrayList<String>();
         for (var replica : replicas.values()) {
-            var service = table.services.get(replica.service());
+            var service = table.services().get(replica.service());
             if (service != null
-                    && service.warmPerS > 0
+                    && service.warmupRequestsPerS() > 0
                     && replica.region().equals(region)
                     && !replica.isWarm(now)
                     && !replica.isDraining()
@@ -117,7 +117,7 @@
             return;
         }
         replica.health().eject(now);
-        RingLog.note(
+        RingLog.debug(
                 "replica "
                         + replica.id()
                         + " is ejected: "
@@ -144,19 +144,19 @@
 
     /** Takes a record of the registry, unless a newer one or the end of the replica is known. */
     public void register(ReplicaRecord newer) {
-        if (newer.gone) {
-            deregistered.put(newer.id, true);
-        } else if (deregistered.containsKey(newer.id)) {
+        if (newer.ended()) {
+            deregistered.put(newer.id(), true);
+        } else if (deregistered.containsKey(newer.id())) {
             return;
         }
-        var known = replicas.get(newer.id);
+        var known = replicas.get(newer.id());
         if (known == null) {
-            if (!newer.gone) {
+            if (!newer.ended()) {
                 add(newer);
             }
             return;
         }
-        if (newer.seq >= known.registration().seq || newer.gone) {
+        if (newer.sequence() >= known.registration().sequence() || newer.ended()) {
             known.register(newer);
         }
         if (known.isDeregistered()) {
@@ -168,16 +168,16 @@
         var replica =
                 new ReplicaEndpoint(
                         first,
-                        settings.regionOf(first.zone),
-                        tieBreakCostUs(first.id),
-                        new LatencyEstimate(predictor.serviceRate(first.service)),
+                        settings.regionOf(first.zone()),
+                        tieBreakCostUs(first.id()),
+                        new LatencyEstimate(predictor.serviceRate(first.service())),
                         Clocks.nowUs());
-        replicas.put(first.id, replica);
-        byService.computeIfAbsent(first.service, service -> new ArrayList<>()).add(replica);
+        replicas.put(first.id(), replica);
+        byService.computeIfAbsent(first.service(), service -> new ArrayList<>()).add(replica);
     }
 
     private double tieBreakCostUs(String id) {
-        var hash = (settings.ip + id).hashCode() * HASH_FACTOR >>> HASH_SHIFT;
+        var hash = (settings.ipAddress() + id).hashCode() * HASH_FACTOR >>> HASH_SHIFT;
         return Math.floorMod(hash, TIE_BREAK_STEPS) * MAX_TIE_BREAK_COST_US / TIE_BREAK_STEPS;
     }
 
--- a/edge/src/main/java/martenloom/edge/replica/RoutingView.java
+++ b/edge/src/main/java/martenloom/edge/replica/RoutingView.java
@@ -16,8 +16,8 @@
 
     /** Whether a replica is an engine that serves a model. */
     default boolean servesModel(ReplicaEndpoint replica, String model) {
-        var service = table().services.get(replica.service());
-        return service != null && service.engine && service.model.equals(model);
+        var service = table().services().get(replica.service());
+        return service != null && service.inferenceEngine() && service.model().equals(model);
     }
 
     /** Whether a replica takes requests, as far as the registry and the evacuations go. */
--- a/edge/src/main/java/martenloom/edge/scaling/RegionScaler.java
+++ b/edge/src/main/java/martenloom/edge/scaling/RegionScaler.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.log.RingLog;
 import martenloom.edge.home.CoreReply;
@@ -30,7 +30,7 @@
     private final RoutingView routing;
     private final ReplicaTable replicaTable;
     private final String region;
-    private final ScaleSettings defaults;
+    private final ScalingSettings defaults;
     private final ScalingOrders orders;
 
     /** By region and model. */
@@ -50,7 +50,7 @@
             RoutingView routing,
             ReplicaTable replicaTable,
             String region,
-            ScaleSettings defaults,
+            ScalingSettings defaults,
             ScalingOrders orders) {
         this.routing = routing;
         this.replicaTable = replicaTable;
@@ -87,7 +87,7 @@
             fencingToken = current;
             scalers.clear();
         }
-        if (fencingToken == NO_LEASE || routing.table().revision == 0) {
+        if (fencingToken == NO_LEASE || routing.table().revision() == 0) {
             return;
         }
         for (var model : engineModels()) {
@@ -97,14 +97,14 @@
 
     private Set<String> engineModels() {
         var models = new TreeSet<String>();
-        routing.table().services.values().stream()
-                .filter(service -> service.engine)
-                .forEach(service -> models.add(service.model));
+        routing.table().services().values().stream()
+                .filter(service -> service.inferenceEngine())
+                .forEach(service -> models.add(service.model()));
         return models;
     }
 
-    private ScaleSettings settings(String model) {
-        return routing.table().scaling.getOrDefault(model, defaults);
+    private ScalingSettings settings(String model) {
+        return routing.table().scaling().getOrDefault(model, defaults);
     }
 
     /** The replicas of a model in this region that take requests, or would if they were loaded. */
@@ -137,7 +137,7 @@
         if (placement.isEmpty() && !scaler.isBusy(now)) {
             scaler.follow(registered.size());
         }
-        scaler.observe(total.flights().getOrDefault(key, 0), reliable, registered, now);
+        scaler.observe(total.inFlightByModel().getOrDefault(key, 0), reliable, registered, now);
         orderIfDifferent(key, scaler, registered, now);
     }
 
@@ -176,9 +176,9 @@
 
     private static void log(CoreReply reply, String key, int desired, Set<String> unloaded) {
         if (reply.isConflict()) {
-            RingLog.say("scaling of " + key + " to " + desired + " is refused: " + reply.text());
+            RingLog.info("scaling of " + key + " to " + desired + " is refused: " + reply.text());
         } else if (reply.isAccepted()) {
-            RingLog.note("scaling of " + key + ": " + desired + " desired, resting " + unloaded);
+            RingLog.debug("scaling of " + key + ": " + desired + " desired, resting " + unloaded);
         }
     }
 
@@ -203,13 +203,15 @@
     /** Whether some route of a model may be served in this region only. */
     private boolean isBoundToRegion(String key) {
         var table = routing.table();
-        for (var route : table.routes) {
-            if (route.regions.size() != 1 || !route.allows(region)) {
+        for (var route : table.routes()) {
+            if (route.allowedRegions().size() != 1 || !route.allows(region)) {
                 continue;
             }
-            for (var share : route.shares) {
-                var service = table.services.get(share.service);
-                if (service != null && service.engine && key.equals(region + "/" + service.model)) {
+            for (var share : route.trafficSplit()) {
+                var service = table.services().get(share.service());
+                if (service != null
+                        && service.inferenceEngine()
+                        && key.equals(region + "/" + service.model())) {
                     return true;
                 }
             }
--- a/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
+++ b/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
@@ -66,7 +66,7 @@
             revision = newRevision;
         }
         edition = newEdition;
-        RingLog.note(
+        RingLog.debug(
                 "configuration edition "
                         + newEdition
                         + " revision "
--- a/edge/src/test/java/martenloom/edge/replica/ReachabilityTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReachabilityTest.java
@@ -4,6 +4,7 @@
 
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -12,7 +13,7 @@
  */
 final class ReachabilityTest {
     private static final Settings SETTINGS =
-            Settings.parse(
+            SettingsFile.parse(
                     "NodeName = \"e\"\n"
                             + "IpAddress = \"10.0.0.1\"\n"
                             + "Zone = \"a\"\n"
@@ -26,10 +27,10 @@
 
     private static ReplicaEndpoint replica() {
         var registration = new ReplicaRecord();
-        registration.id = "i";
-        registration.address = "10.0.0.9:80";
-        registration.zone = "a";
-        registration.seq = 1;
+        registration.setId("i");
+        registration.setAddress("10.0.0.9:80");
+        registration.setZone("a");
+        registration.setSequence(1);
         var replicaTable = new ReplicaTable(SETTINGS);
         replicaTable.register(registration);
         return replicaTable.find("i").get();
--- a/edge/src/test/java/martenloom/edge/replica/ReplicaEvidenceTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReplicaEvidenceTest.java
@@ -9,6 +9,7 @@
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.load.LoadSummary;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -17,7 +18,7 @@
  */
 final class ReplicaEvidenceTest {
     private static final Settings SETTINGS =
-            Settings.parse(
+            SettingsFile.parse(
                     "NodeName = \"e\"\n"
                             + "IpAddress = \"10.0.0.1\"\n"
                             + "Zone = \"a\"\n"
@@ -32,11 +33,11 @@
 
     private ReplicaEndpoint replica(String id) {
         var registration = new ReplicaRecord();
-        registration.id = id;
-        registration.service = "s";
-        registration.address = "10.0.0.9:80";
-        registration.zone = "a";
-        registration.seq = 1;
+        registration.setId(id);
+        registration.setService("s");
+        registration.setAddress("10.0.0.9:80");
+        registration.setZone("a");
+        registration.setSequence(1);
         replicaTable.register(registration);
         var replica = replicaTable.find(id).get();
         replica.reachability().onHeard(0);
@@ -63,24 +64,25 @@
     @Test
     void whoHeardASuspectedReplicaIsReportedWithTheSuspicion() {
         var a = LoadSummary.ofEdge();
-        a.put("i", 1, 0, true);
-        a.put("k", 1, 0, false).heard = 1;
+        a.addReplica("i", 1, 0, true);
+        a.addReplica("k", 1, 0, false).setHearingEdges(1);
         var b = LoadSummary.ofEdge();
-        b.put("i", 2, 0, false).heard = 1;
+        b.addReplica("i", 2, 0, false).setHearingEdges(1);
         var t =
                 LoadSummary.read(
                         new RecordReader(
                                 new LoadSummary()
                                         .add(a)
                                         .add(b)
-                                        .doubtful()
+                                        .onlySuspected()
                                         .write(new RecordWriter())
                                         .bytes(),
                                 false));
-        assertEquals(1, t.load("i").doubts);
-        assertEquals(1, t.load("i").heard);
-        assertEquals(0, t.load("k").heard, "nobody suspects it, so it is not reported");
-        assertEquals(0, new LoadSummary().add(b).less(b).load("i").heard);
+        assertEquals(1, t.replicaLoad("i").suspectingEdges());
+        assertEquals(1, t.replicaLoad("i").hearingEdges());
+        assertEquals(
+                0, t.replicaLoad("k").hearingEdges(), "nobody suspects it, so it is not reported");
+        assertEquals(0, new LoadSummary().add(b).subtract(b).replicaLoad("i").hearingEdges());
     }
 
     @Test
--- a/launcher/src/main/java/martenloom/launcher/CheckConfigurationCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/CheckConfigurationCommand.java
@@ -15,16 +15,16 @@
         var text = arguments.fileText("read configuration");
         var routingText =
                 arguments.file().endsWith(JSON_SUFFIX)
-                        ? Configurations.replace(text).routingText
+                        ? Configurations.replace(text).routingText()
                         : text;
         var table = RoutingLanguage.compile(routingText);
         System.out.println(
                 "ok: revision "
-                        + table.revision
+                        + table.revision()
                         + ", "
-                        + table.routes.size()
+                        + table.routes().size()
                         + " routes, "
-                        + table.services.size()
+                        + table.services().size()
                         + " services");
         return ExitStatus.SUCCESS;
     }
--- a/launcher/src/main/java/martenloom/launcher/CheckPlacementCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/CheckPlacementCommand.java
@@ -1,8 +1,9 @@
 package martenloom.launcher;
 
 import java.util.List;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.IpPort;
 import martenloom.routing.placement.Placement;
+import martenloom.routing.placement.PlacementFinding;
 import martenloom.shell.Shell;
 
 /**
@@ -26,10 +27,10 @@
         var changed = file.changed();
         if (changed.isEmpty()) {
             return report(
-                    findings.stream().allMatch(Placement.Finding::bound),
+                    findings.stream().allMatch(PlacementFinding::bound),
                     "ok: every model outlives the loss of any one region");
         }
-        var added = Placement.added(file.present(), changed.get(), file.routes());
+        var added = Placement.regressions(file.present(), changed.get(), file.routes());
         added.forEach(finding -> System.out.println("refused: " + finding.text()));
         return report(added.isEmpty(), "ok: the change strands nothing");
     }
@@ -47,7 +48,7 @@
                     "check-placement --at IP:PORT takes REGION/MODEL and unload or load");
         }
         var query = "would " + words.get(0) + " " + words.get(1);
-        var answer = Shell.ask(Settings.address("--at", daemon), query);
+        var answer = Shell.ask(IpPort.parse("--at", daemon), query);
         System.out.print(answer);
         return ExitStatus.ofCheck(answer.startsWith("ok"));
     }
--- a/launcher/src/main/java/martenloom/launcher/CheckSettingsCommand.java
+++ b/launcher/src/main/java/martenloom/launcher/CheckSettingsCommand.java
@@ -1,21 +1,21 @@
 package martenloom.launcher;
 
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 
 /** {@code check-settings FILE}: reads and checks a settings file. */
 final class CheckSettingsCommand implements Command {
     @Override
     public ExitStatus run(CommandArguments arguments) {
-        var settings = Settings.load(arguments.file());
+        var settings = SettingsFile.load(arguments.file());
         System.out.println(
                 "ok: "
-                        + settings.name
+                        + settings.nodeName()
                         + " in "
-                        + settings.zone
+                        + settings.zone()
                         + "/"
-                        + settings.region
+                        + settings.region()
                         + ", serves "
-                        + String.join(",", settings.serves));
+                        + String.join(",", settings.servedRoles()));
         return ExitStatus.SUCCESS;
     }
 }
--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveTraining.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveTraining.java
@@ -15,6 +15,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.error.MartenloomException;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
@@ -93,7 +94,7 @@
                 startLoop(
                         "core",
                         loop -> {
-                            var store = new FileSystemFolder(core.dataDir);
+                            var store = new FileSystemFolder(core.dataDirectory());
                             new CoreDaemon(core, loop, store).start();
                         });
         var startedEdge = new CompletableFuture<EdgeDaemon>();
@@ -160,7 +161,7 @@
     }
 
     private Settings settings(String ip, String listenAddresses) {
-        return Settings.parse(
+        return SettingsFile.parse(
                 """
                 NodeName = "n"
                 IpAddress = "%s"
--- a/launcher/src/main/java/martenloom/launcher/PlacementFile.java
+++ b/launcher/src/main/java/martenloom/launcher/PlacementFile.java
@@ -26,7 +26,7 @@
     private PlacementFile(Config file) {
         this.file = file;
         var configuration = file.getObject("Configuration").render(ConfigRenderOptions.concise());
-        routes = RoutingLanguage.compile(Configurations.replace(configuration).routingText);
+        routes = RoutingLanguage.compile(Configurations.replace(configuration).routingText());
         present = readRunning(file, routes);
     }
 
@@ -71,7 +71,7 @@
         var placement = new Placement();
         for (var running : file.getConfigList("Running")) {
             var service = running.getString("Backend");
-            if (!routes.services.containsKey(service)) {
+            if (!routes.services().containsKey(service)) {
                 throw new ConfigException.BadValue(
                         running.origin(),
                         "Running.Backend",
@@ -80,7 +80,8 @@
             running.getStringList("Replicas")
                     .forEach(
                             replica ->
-                                    placement.put(service, running.getString("Region"), replica));
+                                    placement.addReplica(
+                                            service, running.getString("Region"), replica));
         }
         return placement;
     }
@@ -88,8 +89,10 @@
     private Placement applyChange(Config change) {
         var model = change.getString("Model");
         var services =
-                routes.services.values().stream()
-                        .filter(service -> service.engine && service.model.equals(model))
+                routes.services().values().stream()
+                        .filter(
+                                service ->
+                                        service.inferenceEngine() && service.model().equals(model))
                         .toList();
         if (services.isEmpty()) {
             throw new ConfigException.BadValue(
--- a/launcher/src/main/java/martenloom/launcher/RoleRunner.java
+++ b/launcher/src/main/java/martenloom/launcher/RoleRunner.java
@@ -4,12 +4,13 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.error.InvalidSettingsException;
 import martenloom.common.error.LinkException;
 import martenloom.common.error.UsageException;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
@@ -30,7 +31,7 @@
     static ExitStatus run(String role, String[] args) {
         var scaling = parseScaling(role, args);
         var settings =
-                Settings.load(Optional.ofNullable(System.getenv(SETTINGS_VARIABLE)).orElse(""));
+                SettingsFile.load(Optional.ofNullable(System.getenv(SETTINGS_VARIABLE)).orElse(""));
         var loop = Clocks.reactor(role);
         loop.keepAlive(true);
         loop.execute(() -> watchSettings(settings, loop));
@@ -50,9 +51,9 @@
     /**
      * Reads the one option of a role by hand: the library of the commands would cost every start.
      */
-    private static ScaleSettings parseScaling(String role, String[] args) {
+    private static ScalingSettings parseScaling(String role, String[] args) {
         if (args.length == 1) {
-            return ScaleSettings.DEFAULT;
+            return ScalingSettings.DEFAULT;
         }
         var takesScaling = role.equals(EDGE);
         if (!takesScaling
@@ -65,29 +66,29 @@
                                     ? " takes --scaling WORDS or nothing"
                                     : " takes no options"));
         }
-        return ScaleSettings.parse(args[2]);
+        return ScalingSettings.parse(args[2]);
     }
 
     private static void watchSettings(Settings settings, Eventloop loop) {
         SettingsWatcher.of(settings, Path.of(System.getenv(SETTINGS_VARIABLE))).start(loop);
     }
 
-    private static void startEdge(Settings settings, Eventloop loop, ScaleSettings scaling)
+    private static void startEdge(Settings settings, Eventloop loop, ScalingSettings scaling)
             throws IOException {
-        settings.need("Frontend");
-        settings.need("Readiness");
+        settings.requiredListenAddress("Frontend");
+        settings.requiredListenAddress("Readiness");
         var daemon = new EdgeDaemon(settings, loop, scaling);
         loop.execute(() -> startOrHalt(() -> daemon.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::shutDown, "leave"));
     }
 
     private static void startCore(Settings settings, Eventloop loop) throws IOException {
-        settings.need("ControlPlane");
-        if (settings.dataDir.isEmpty()) {
+        settings.requiredListenAddress("ControlPlane");
+        if (settings.dataDirectory().isEmpty()) {
             throw new InvalidSettingsException(
                     "check settings", "DataDirectory: missing, and this role needs it");
         }
-        var store = new FileSystemFolder(settings.dataDir);
+        var store = new FileSystemFolder(settings.dataDirectory());
         var daemon = new CoreDaemon(settings, loop, store);
         loop.execute(() -> startOrHalt(() -> daemon.start()));
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::leave, "leave"));
--- a/launcher/src/main/java/martenloom/launcher/SettingsWatcher.java
+++ b/launcher/src/main/java/martenloom/launcher/SettingsWatcher.java
@@ -8,6 +8,7 @@
 import martenloom.common.error.MartenloomException;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import sun.misc.Signal;
 
 /**
@@ -53,10 +54,10 @@
         }
         knownText = text;
         try {
-            settings.adopt(Settings.parse(text));
-            RingLog.note("settings read again");
+            settings.adoptReloadable(SettingsFile.parse(text));
+            RingLog.debug("settings read again");
         } catch (MartenloomException e) {
-            RingLog.wrong("settings changed and are not usable: " + e.getMessage());
+            RingLog.error("settings changed and are not usable: " + e.getMessage());
         }
     }
 
--- a/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/CommandForwarder.java
@@ -7,6 +7,7 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.link.PendingRequests;
+import martenloom.common.link.RequestId;
 import martenloom.core.state.CommandCodec;
 import martenloom.core.state.StampedCommand;
 import martenloom.simulation.history.CommandReply;
@@ -47,7 +48,7 @@
             return;
         }
         var id =
-                remoteRequests.open(
+                remoteRequests.register(
                         head.get(),
                         (status, text) -> callback.onReply(CommandReply.ofNumber(status, text)));
         var record = new RecordWriter(RecordType.ORDER_REQUEST);
@@ -72,17 +73,16 @@
     }
 
     void onClosed(SimulatedConnection connection) {
-        remoteRequests.closed(connection, "the link closed before an answer");
+        remoteRequests.channelClosed(connection, "the link closed before an answer");
     }
 
     /** A command that another member forwards to this one. */
     void onRequest(SimulatedConnection connection, RecordReader in) {
-        var id = PendingRequests.RequestId.read(in);
+        var id = RequestId.read(in);
         submitLocally(CommandCodec.read(in), reply -> respond(connection, id, reply));
     }
 
-    private static void respond(
-            SimulatedConnection connection, PendingRequests.RequestId id, CommandReply reply) {
+    private static void respond(SimulatedConnection connection, RequestId id, CommandReply reply) {
         var record = new RecordWriter(RecordType.ORDER_RESPONSE);
         id.write(record);
         connection.answer(record.i32(reply.code().number()).text(reply.text()).bytes());
@@ -90,7 +90,6 @@
 
     /** The head's response to a command that was forwarded from here. */
     void onResponse(SimulatedConnection connection, RecordReader in) {
-        remoteRequests.answered(
-                PendingRequests.RequestId.read(in), connection, in.i32(), in.text());
+        remoteRequests.complete(RequestId.read(in), connection, in.i32(), in.text());
     }
 }
