--- a/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
@@ -78,10 +78,7 @@
     /** Marks whether a replica is unloaded, by the placement of its model in its region. */
     void markUnloaded(ReplicaEndpoint replica) {
         var placement = placement(replica);
-        replica.setUnloaded(
-                placement.isPresent()
-                        && (placement.get().pinned()
-                                || placement.get().resting().contains(replica.id())));
+        replica.setUnloaded(placement.isPresent() && placement.get().isUnloaded(replica.id()));
     }
 
     private Optional<ReplicaPlacement> placement(ReplicaEndpoint replica) {
--- a/edge/src/main/java/martenloom/edge/home/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeConnection.java
@@ -21,7 +21,7 @@
  */
 public final class HomeConnection {
     /** The age from which a daemon's knowledge of the core counts as stale. */
-    private static final long STALE_US = 1_500_000;
+    private static final long MAX_STALENESS_US = 1_500_000;
 
     private static final long UNRESPONSIVE_US = 1_400_000;
     private static final long REDIAL_US = 150_000;
@@ -80,7 +80,7 @@
 
     /** Whether knowledge of this age still counts. */
     public static boolean isFresh(long staleUs) {
-        return staleUs < STALE_US;
+        return staleUs < MAX_STALENESS_US;
     }
 
     /** Picks the first home. */
--- a/edge/src/main/java/martenloom/edge/load/ClusterLoadView.java
+++ b/edge/src/main/java/martenloom/edge/load/ClusterLoadView.java
@@ -28,6 +28,11 @@
     /** The age up to which the total is taken as that of now. */
     private static final long FRESH_US = 1_400_000;
 
+    /** The total is relied on when it is of two thirds of the edges. */
+    private static final int QUORUM = 2;
+
+    private static final int QUORUM_OF = 3;
+
     private final ReplicaTable replicaTable;
     private final RequestDispatcher dispatcher;
     private final String ip;
@@ -63,7 +68,7 @@
 
     /** Whether the total is fresh and of most edges, so that low numbers in it can be relied on. */
     public boolean isReliable(int knownEdges, long now) {
-        return now - totalAtUs < FRESH_US && total.edges() * 3 >= knownEdges * 2;
+        return now - totalAtUs < FRESH_US && total.edges() * QUORUM_OF >= knownEdges * QUORUM;
     }
 
     /** The record with the sample of this turn, if it is to be sent. */
--- a/edge/src/main/java/martenloom/edge/overload/OverloadReportPublisher.java
+++ b/edge/src/main/java/martenloom/edge/overload/OverloadReportPublisher.java
@@ -29,6 +29,11 @@
     private final Map<String, OverloadReporter> reporters = new TreeMap<>();
     private final Map<String, Published> lastPublished = new HashMap<>();
 
+    /**
+     * Creates a publisher that has published nothing.
+     *
+     * @param publish sends a report to the edges elsewhere
+     */
     public OverloadReportPublisher(
             Settings settings,
             RoutingView routing,
--- a/edge/src/main/java/martenloom/edge/replica/ConnectionPool.java
+++ b/edge/src/main/java/martenloom/edge/replica/ConnectionPool.java
@@ -15,7 +15,9 @@
     /** The trust before any connection was found reset; small enough to be multiplied. */
     private static final long UNLIMITED_US = Long.MAX_VALUE / 10;
 
-    /** The part, in tenths, of the idle time of a reset connection that is trusted from then on. */
+    /**
+     * The share, in tenths, of the idle time of a reset connection that is trusted from then on.
+     */
     private static final int TRUSTED_TENTHS = 6;
 
     private final ArrayDeque<ReplicaConnection> idle = new ArrayDeque<>();
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaHealth.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaHealth.java
@@ -19,15 +19,18 @@
     }
 
     /** The length of a window of outcomes; the present one and the one before count. */
-    public static final long WINDOW_US = 1_500_000;
+    private static final long WINDOW_US = 1_500_000;
 
-    public static final long MIN_EJECTION_US = 2_000_000;
-    public static final long MAX_EJECTION_US = 8_000_000;
-    public static final long RECOVERY_US = 2_000_000;
+    static final long MIN_EJECTION_US = 2_000_000;
+    static final long MAX_EJECTION_US = 8_000_000;
+    private static final long RECOVERY_US = 2_000_000;
 
     /** An ejection within this time of the last one lasts for twice as long. */
     private static final long EJECTION_MEMORY_US = 20_000_000;
 
+    /** How long after the end of an ejection outcomes are those of requests from before it. */
+    private static final long IGNORE_OUTCOMES_US = WINDOW_US * 2 / 3;
+
     private static final int MIN_FAILURES = 3;
     private static final double MAX_FAILURE_RATE = 0.25;
     private static final double RECOVERY_COST_US = 40_000;
@@ -45,7 +48,7 @@
     private long ejectionUs;
     private long ejectedAtUs;
 
-    /** Until then outcomes are those of requests from before the ejection. */
+    /** In microseconds; see {@link #IGNORE_OUTCOMES_US}. */
     private long ignoreOutcomesUntilUs;
 
     private void advanceWindow(long now) {
@@ -106,7 +109,7 @@
         state = next;
         stateEndUs = endUs;
         if (next == State.RECOVERING) {
-            ignoreOutcomesUntilUs = endUs - RECOVERY_US + WINDOW_US * 2 / 3;
+            ignoreOutcomesUntilUs = endUs - RECOVERY_US + IGNORE_OUTCOMES_US;
             successes = 0;
             failures = 0;
             previousSuccesses = 0;
--- a/edge/src/main/java/martenloom/edge/scaling/RegionScaler.java
+++ b/edge/src/main/java/martenloom/edge/scaling/RegionScaler.java
@@ -124,7 +124,7 @@
         var key = region + "/" + model;
         var placement = placement(key);
         var registered = registered(model);
-        if (registered.isEmpty() || placement.isPresent() && placement.get().pinned()) {
+        if (registered.isEmpty() || placement.isPresent() && placement.get().unloadedByOperator()) {
             scalers.remove(key);
             return;
         }
@@ -160,7 +160,7 @@
         if (!all
                 && placement.isPresent()
                 && placement.get().desired() == desired
-                && placement.get().resting().equals(unloaded)) {
+                && placement.get().unloaded().equals(unloaded)) {
             return;
         }
         scaler.onOrdered();
@@ -178,7 +178,7 @@
         if (reply.isConflict()) {
             RingLog.say("scaling of " + key + " to " + desired + " is refused: " + reply.text());
         } else if (reply.isAccepted()) {
-            RingLog.note("scaling of " + key + ": " + desired + " desired, resting " + unloaded);
+            RingLog.note("scaling of " + key + ": " + desired + " desired, unloaded " + unloaded);
         }
     }
 
@@ -239,7 +239,7 @@
                 "%s desired %d%s resting %d\n",
                 key,
                 placement.desired(),
-                placement.pinned() ? " unloaded by the operator" : "",
-                placement.resting().size());
+                placement.unloadedByOperator() ? " unloaded by the operator" : "",
+                placement.unloaded().size());
     }
 }
--- a/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
+++ b/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
@@ -25,6 +25,7 @@
     private long edition = -1;
     private volatile long revision;
 
+    /** Creates a receiver that has no configuration. */
     public ConfigurationReceiver(
             HomeConnection home, RequestDispatcher dispatcher, RegionScaler scaler) {
         this.home = home;
--- a/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
+++ b/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
@@ -42,6 +42,7 @@
     private int maxEdges = 1;
     private boolean jobsExist;
 
+    /** Creates a subscription that has had no response. */
     public EdgeSubscription(
             Settings settings,
             HomeConnection home,
