--- a/core/src/test/java/martenloom/core/golden/FilledState.java
+++ b/core/src/test/java/martenloom/core/golden/FilledState.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
 import martenloom.core.state.ClusterState;
 import martenloom.routing.placement.Placement;
 
@@ -76,15 +77,15 @@
     }
 
     private void scales() {
-        running.put("s", "north", "n1");
-        running.put("s", "north", "n2");
-        running.put("s", "north", "n3");
-        running.put("s", "south", "s1");
-        running.put("s", "west", "w1");
+        running.addReplica("s", "north", "n1");
+        running.addReplica("s", "north", "n2");
+        running.addReplica("s", "north", "n3");
+        running.addReplica("s", "south", "s1");
+        running.addReplica("s", "west", "w1");
         take(
                 new ClusterState.Change(ClusterState.Act.SCALE, GRANT, "north/m", "1\nn2\nn3")
                         .versioned(5)
-                        .surveyed(running.text()));
+                        .surveyed(running.encode()));
         order(ClusterState.Act.PLACE, 0, "south/m", "unload");
         order(ClusterState.Act.PLACE, 0, "west/m", "load");
     }
@@ -125,19 +126,19 @@
 
     private void submit(String id, boolean repeatable, long timeUs) {
         var job = new Job();
-        job.id = id;
-        job.region = "north";
-        job.method = "PUT";
-        job.host = "h.example";
-        job.path = "/r/" + id;
-        job.fields = List.of("x-prompt-prefix: p1:20", "accept: */*");
-        job.body = ("content of " + id).getBytes(StandardCharsets.UTF_8);
-        job.digest = "digest of " + id;
-        job.repeatable = repeatable;
-        job.resumable = true;
-        job.dueUs = timeUs;
+        job.setId(id);
+        job.setRegion("north");
+        job.setMethod("PUT");
+        job.setHost("h.example");
+        job.setPath("/r/" + id);
+        job.setHeaderFields(List.of("x-prompt-prefix: p1:20", "accept: */*"));
+        job.setBody(("content of " + id).getBytes(StandardCharsets.UTF_8));
+        job.setDigest("digest of " + id);
+        job.setRetriable(repeatable);
+        job.setResumable(true);
+        job.setDeadlineUs(timeUs);
         var out = new RecordWriter();
-        job.write(out);
+        JobCodec.write(job, out);
         atTime(ClusterState.Act.JOB_SUBMIT, id, base64(out), SUBMITTED_AT_US);
     }
 
@@ -176,7 +177,7 @@
     }
 
     private void order(ClusterState.Act act, long base, String subject, String body) {
-        var change = new ClusterState.Change(act, base, subject, body).surveyed(running.text());
+        var change = new ClusterState.Change(act, base, subject, body).surveyed(running.encode());
         take(state.accepted(change));
     }
 
--- a/edge/src/main/java/martenloom/edge/EdgeDaemon.java
+++ b/edge/src/main/java/martenloom/edge/EdgeDaemon.java
@@ -10,13 +10,16 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ThreadLocalRandom;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.edge.admin.ShellQueries;
 import martenloom.edge.dispatch.ClientConnection;
@@ -43,7 +46,7 @@
  * record to the part that it concerns. When the core is lost, the edge goes on with the last good
  * state. Everything but {@link #shutDown} and the getters runs on the reactor thread.
  */
-public final class EdgeDaemon implements PeerLinks.Handler {
+public final class EdgeDaemon implements PeerLinkHandler {
     private static final long DISPATCH_INTERVAL_US = 20_000;
     private static final long SWEEP_INTERVAL_US = 500_000;
     private static final long RENEWAL_INTERVAL_US = 400_000;
@@ -87,7 +90,7 @@
     private int samples;
 
     public EdgeDaemon(Settings settings, Eventloop loop) {
-        this(settings, loop, ScaleSettings.DEFAULT);
+        this(settings, loop, ScalingSettings.DEFAULT);
     }
 
     /**
@@ -95,7 +98,7 @@
      *
      * @param scaling the settings of models for which the configuration has none
      */
-    public EdgeDaemon(Settings settings, Eventloop loop, ScaleSettings scaling) {
+    public EdgeDaemon(Settings settings, Eventloop loop, ScalingSettings scaling) {
         this.settings = settings;
         this.loop = loop;
         replicaTable = new ReplicaTable(settings);
@@ -111,7 +114,7 @@
                 new RegionScaler(
                         dispatcher,
                         replicaTable,
-                        settings.region,
+                        settings.region(),
                         scaling,
                         new ScalingOrders(core));
         jobs =
@@ -120,12 +123,12 @@
                         core,
                         () -> roles.holdsJobRole(Clocks.nowUs()),
                         (delayUs, task) -> Clocks.after(loop, delayUs, task),
-                        settings.ip);
+                        settings.ipAddress());
         configuration = new ConfigurationReceiver(home, dispatcher, scaler);
         subscription =
                 new EdgeSubscription(
                         settings, home, replicaTable, dispatcher, configuration, readiness);
-        load = new ClusterLoadView(replicaTable, dispatcher, settings.ip, incarnation);
+        load = new ClusterLoadView(replicaTable, dispatcher, settings.ipAddress(), incarnation);
         overloadReports =
                 new OverloadReportPublisher(settings, dispatcher, replicaTable, this::publish);
         shell = new ShellQueries(dispatcher, jobs, scaler, roles, this::homeLine);
@@ -138,7 +141,7 @@
 
     /** How many edges the last total was of. */
     public int edgesHeard() {
-        return load.total().edges();
+        return load.total().edgeCount();
     }
 
     /** The revision of the configuration that is in force here. Thread-safe. */
@@ -155,9 +158,11 @@
     public void start() throws IOException {
         PeerLinks.listen(
                 loop,
-                new InetSocketAddress(InetAddress.getByName(settings.ip), settings.portLow),
+                new InetSocketAddress(
+                        InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
-        readiness.listen(loop, Settings.address("Readiness", settings.need("Readiness")));
+        readiness.listen(
+                loop, IpPort.parse("Readiness", settings.requiredListenAddress("Readiness")));
         listenForClients();
         home.open();
         Clocks.every(loop, DISPATCH_INTERVAL_US, dispatcher::tick);
@@ -167,14 +172,20 @@
         Clocks.every(loop, REPORT_INTERVAL_US, this::reportOverload);
         Clocks.every(loop, JOB_INTERVAL_US, jobs::tick);
         Clocks.every(loop, SCALING_INTERVAL_US, this::scale);
-        RingLog.say("edge " + settings.name + " listens at " + settings.need("Frontend"));
+        RingLog.info(
+                "edge "
+                        + settings.nodeName()
+                        + " listens at "
+                        + settings.requiredListenAddress("Frontend"));
     }
 
     private void listenForClients() throws IOException {
         var server =
                 SimpleServer.builder(loop, socket -> new ClientConnection(loop, socket, dispatcher))
                         .withSocketSettings(SocketSettings.builder().withTcpNoDelay(true).build())
-                        .withListenAddress(Settings.address("Frontend", settings.need("Frontend")))
+                        .withListenAddress(
+                                IpPort.parse(
+                                        "Frontend", settings.requiredListenAddress("Frontend")))
                         .build();
         server.listen();
         frontend = Optional.of(server);
@@ -186,12 +197,12 @@
                 new GracefulShutdown(
                         loop,
                         dispatcher,
-                        settings.bounds,
+                        settings.bounds(),
                         () -> frontend.ifPresent(SimpleServer::close));
         loop.execute(
                 () -> {
                     readiness.drain();
-                    RingLog.note("draining");
+                    RingLog.debug("draining");
                     home.renew();
                     shutdown.begin();
                 });
@@ -207,8 +218,8 @@
 
     private void sendSample() {
         samples++;
-        if (RingLog.CHATTY && samples % SAMPLES_PER_LOG == 0) {
-            RingLog.note(
+        if (RingLog.ECHO && samples % SAMPLES_PER_LOG == 0) {
+            RingLog.debug(
                     "overload "
                             + shell.answer("overload").replace('\n', ';')
                             + " "
@@ -226,7 +237,7 @@
     private void publish(OverloadReport report) {
         var out = new RecordWriter(RecordType.OVERLOAD_REPORT);
         report.write(out);
-        RingLog.note("report " + report);
+        RingLog.debug("report " + report);
         home.send(out.bytes());
     }
 
@@ -242,7 +253,7 @@
     // ---- records
 
     @Override
-    public void onRecord(PeerLinks.Link link, byte[] record) {
+    public void onRecord(PeerLink link, byte[] record) {
         var in = new RecordReader(record, true);
         if (home.isCandidate(link)) {
             if (in.type() == RecordType.EDGE_LEASE_RESPONSE) {
@@ -251,9 +262,9 @@
             return;
         }
         if (FROM_HOME_ONLY.contains(in.type()) && !home.isHome(link)) {
-            RingLog.note(
+            RingLog.debug(
                     "link "
-                            + link.peer
+                            + link.peer()
                             + ": record "
                             + in.type()
                             + " is not from the home, dropped");
@@ -271,12 +282,12 @@
             case RecordType.TOTAL_LOAD -> load.onTotal(in, Clocks.nowUs());
             case RecordType.OVERLOAD_REPORT -> onReport(OverloadReport.read(in));
             case RecordType.SHELL_QUERY -> onQuery(link, in);
-            default -> RingLog.note("link " + link.peer + ": unknown record " + in.type());
+            default -> RingLog.debug("link " + link.peer() + ": unknown record " + in.type());
         }
     }
 
-    private static void onHello(PeerLinks.Link link, RecordReader in) {
-        link.peer = in.text();
+    private static void onHello(PeerLink link, RecordReader in) {
+        link.setPeer(in.text());
         link.send(new RecordWriter(RecordType.KNOWN_PEERS).bytes());
     }
 
@@ -293,20 +304,20 @@
     }
 
     private void onReport(OverloadReport report) {
-        if (!report.region().equals(settings.region)) {
+        if (!report.region().equals(settings.region())) {
             dispatcher.overloadReports().onReport(report, Clocks.nowUs());
         }
     }
 
-    private void onQuery(PeerLinks.Link link, RecordReader in) {
+    private void onQuery(PeerLink link, RecordReader in) {
         link.send(
                 new RecordWriter(RecordType.SHELL_RESPONSE).text(shell.answer(in.text())).bytes());
     }
 
     @Override
-    public void onClosed(PeerLinks.Link link) {
+    public void onClosed(PeerLink link) {
         core.onClosed(link);
-        RingLog.note("link " + link.peer + " closed");
+        RingLog.debug("link " + link.peer() + " closed");
     }
 
     private String homeLine() {
--- a/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
@@ -3,7 +3,8 @@
 import martenloom.common.settings.Settings;
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * Decides which replicas a request may go to at all: those that are registered and stay, in no
@@ -56,8 +57,7 @@
     }
 
     /** Whether a request may be sent to a replica now. */
-    boolean isUsable(
-            ReplicaEndpoint replica, RouteTable.Service service, Request request, long nowUs) {
+    boolean isUsable(ReplicaEndpoint replica, ServiceSpec service, Request request, long nowUs) {
         return stays(replica)
                 && !request.triedReplicas().contains(replica.id())
                 && !replica.isUnloaded()
@@ -72,7 +72,7 @@
     private boolean stays(ReplicaEndpoint replica) {
         return !replica.isDeregistered()
                 && replica.isAvailable()
-                && replica.registration().leavesAtUs == Long.MAX_VALUE
+                && replica.registration().drainDeadlineUs() == Long.MAX_VALUE
                 && !cluster.isEvacuated(replica.zone());
     }
 
@@ -86,10 +86,9 @@
     }
 
     /** A replica that is warming up gets only so many requests in a second. */
-    private boolean hasWarmupPermit(
-            ReplicaEndpoint replica, RouteTable.Service service, long nowUs) {
+    private boolean hasWarmupPermit(ReplicaEndpoint replica, ServiceSpec service, long nowUs) {
         return replica.isWarm(nowUs)
-                || service.warmPerS <= 0
+                || service.warmupRequestsPerS() <= 0
                 || replica.warmup().recentSends(nowUs) + replica.connectingAttempts()
                         < warmupPermits(replica, service, nowUs);
     }
@@ -98,22 +97,23 @@
      * An even share by the most edges ever, as long as that is one or more; past that, what the
      * homes lent.
      */
-    private int warmupPermits(ReplicaEndpoint replica, RouteTable.Service service, long nowUs) {
-        var permits = service.coldPerS(settings.bounds.warmOverage, settings.bounds.warmSlack);
+    private int warmupPermits(ReplicaEndpoint replica, ServiceSpec service, long nowUs) {
+        var permits =
+                service.coldRequestsPerS(
+                        settings.bounds().warmupOverage(), settings.bounds().warmupSlack());
         return cluster.edgeCount() <= permits
                 ? permits / cluster.edgeCount()
                 : replicaTable.warmupPermits().sendsPerSecond(replica.id(), nowUs);
     }
 
-    private boolean hasConnection(ReplicaEndpoint replica, RouteTable.Service service) {
-        var share = (int) (service.maxConnections * SHARED_CONNECTIONS / cluster.edgeCount());
+    private boolean hasConnection(ReplicaEndpoint replica, ServiceSpec service) {
+        var share = (int) (service.maxConnections() * SHARED_CONNECTIONS / cluster.edgeCount());
         return !replica.connections().hasNoIdle()
                 || replica.connections().openConnections() < Math.max(1, share);
     }
 
-    private static boolean hasCapacity(
-            ReplicaEndpoint replica, RouteTable.Service service, long nowUs) {
-        var overcommit = service.engine ? ENGINE_OVERCOMMIT : PLAIN_OVERCOMMIT;
+    private static boolean hasCapacity(ReplicaEndpoint replica, ServiceSpec service, long nowUs) {
+        var overcommit = service.inferenceEngine() ? ENGINE_OVERCOMMIT : PLAIN_OVERCOMMIT;
         return replica.load().inFlight(nowUs) < replica.capacity() * overcommit;
     }
 
@@ -123,13 +123,13 @@
      * are not kept out before the others.
      */
     boolean isTooFullForKind(
-            ReplicaEndpoint replica, RouteTable.Service service, Request request, long nowUs) {
+            ReplicaEndpoint replica, ServiceSpec service, Request request, long nowUs) {
         var capacity = replica.capacity();
         var wellFilled =
                 Math.max(
                         capacity * WELL_FILLED,
                         Math.min(capacity - POSITIONS_KEPT_FREE, WELL_FILLED_ATTEMPTS));
-        return service.engine
+        return service.inferenceEngine()
                 && replicaTable.predictor().usualPromptTokens(request.route()) >= LARGE_KIND_TOKENS
                 && replica.load().inFlight(nowUs) > wellFilled;
     }
@@ -138,17 +138,17 @@
 
     /** Whether some replica of a route has capacity to spare for a job of this urgency. */
     boolean hasJobCapacity(String routeName, int urgency, long nowUs) {
-        for (var route : cluster.table().routes) {
-            if (route.name.equals(routeName)) {
+        for (var route : cluster.table().routes()) {
+            if (route.name().equals(routeName)) {
                 return hasJobCapacity(route, urgency, nowUs);
             }
         }
         return false;
     }
 
-    private boolean hasJobCapacity(RouteTable.Route route, int urgency, long nowUs) {
-        for (var share : route.shares) {
-            for (var replica : replicaTable.ofService(share.service)) {
+    private boolean hasJobCapacity(Route route, int urgency, long nowUs) {
+        for (var share : route.trafficSplit()) {
+            for (var replica : replicaTable.ofService(share.service())) {
                 if (hasJobCapacity(replica, route, urgency, nowUs)) {
                     return true;
                 }
@@ -158,8 +158,7 @@
     }
 
     /** Whether a replica has capacity for a job past what interactive requests need. */
-    private boolean hasJobCapacity(
-            ReplicaEndpoint replica, RouteTable.Route route, int urgency, long nowUs) {
+    private boolean hasJobCapacity(ReplicaEndpoint replica, Route route, int urgency, long nowUs) {
         return route.allows(replica.region())
                 && replica.isAvailable()
                 && !replica.isDeregistered()
@@ -168,7 +167,7 @@
                 && (replica.isWarm(nowUs) || urgency >= COLD_START_URGENCY)
                 && replica.load().inFlight(nowUs)
                         < Math.max(1, replica.capacity() * JOB_CAPACITY[urgency])
-                && prefillAheadUs(replica, nowUs) < route.aimUs * JOB_LATENCY[urgency];
+                && prefillAheadUs(replica, nowUs) < route.latencyTargetUs() * JOB_LATENCY[urgency];
     }
 
     private static double prefillAheadUs(ReplicaEndpoint replica, long nowUs) {
--- a/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClientConnection.java
@@ -14,7 +14,7 @@
 import martenloom.edge.http.MalformedMessageException;
 import martenloom.edge.http.MessageHead;
 import martenloom.edge.transport.SocketConnection;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ClientLimits;
 
 /**
  * A connection of a client: reads one request at a time, strictly and within the limits of the
@@ -29,7 +29,7 @@
     /** Takes the requests of client connections. */
     public interface RequestHandler {
         /** The limits on requests that are in force. */
-        RouteTable.Limits clientLimits();
+        ClientLimits clientLimits();
 
         /** Whether this edge shuts down, so that each connection is closed behind its response. */
         boolean closesConnections();
@@ -156,7 +156,7 @@
         var start = socket.position();
         var end = MessageHead.endOf(socket.buffer(), start + HEAD_END_LOOK_BACK, socket.limit());
         var headBytes = end < 0 ? socket.available() : end - start;
-        if (headBytes > handler.clientLimits().headBytes) {
+        if (headBytes > handler.clientLimits().maxHeaderBytes()) {
             throw new MalformedMessageException(
                     HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large");
         }
@@ -184,7 +184,7 @@
             throw new MalformedMessageException(HttpStatus.BAD_REQUEST, "host");
         }
         var length = head.bodyLength(HttpStatus.BAD_REQUEST);
-        if (length > handler.clientLimits().bodyBytes) {
+        if (length > handler.clientLimits().maxBodyBytes()) {
             throw new MalformedMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
         }
         closeAfterResponse = head.closesConnection();
@@ -224,7 +224,7 @@
         var start = socket.position();
         var end = reader.read(socket.buffer(), start, socket.limit(), body::write);
         socket.consume(end - start);
-        if (body.size() > handler.clientLimits().bodyBytes) {
+        if (body.size() > handler.clientLimits().maxBodyBytes()) {
             throw new MalformedMessageException(HttpStatus.CONTENT_TOO_LARGE, "body too large");
         }
         if (reader.done()) {
@@ -330,10 +330,13 @@
                 if (socket.available() == 0) {
                     closeIf(ageUs > maxIdleUs());
                 } else {
-                    rejectIf(ageUs > handler.clientLimits().headMs * US_PER_MS + HEAD_GRACE_US);
+                    rejectIf(
+                            ageUs
+                                    > handler.clientLimits().headerTimeoutMs() * US_PER_MS
+                                            + HEAD_GRACE_US);
                 }
             }
-            case BODY -> rejectIf(ageUs > handler.clientLimits().idleMs * US_PER_MS);
+            case BODY -> rejectIf(ageUs > handler.clientLimits().idleTimeoutMs() * US_PER_MS);
             case CLOSING -> closeIf(ageUs > MAX_CLOSING_US);
             case IN_FLIGHT -> {}
         }
@@ -342,7 +345,7 @@
     private long maxIdleUs() {
         return handler.closesConnections()
                 ? MAX_IDLE_IN_SHUTDOWN_US
-                : handler.clientLimits().idleMs * US_PER_MS + IDLE_GRACE_US;
+                : handler.clientLimits().idleTimeoutMs() * US_PER_MS + IDLE_GRACE_US;
     }
 
     private void closeIf(boolean expired) {
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestCompletion.java
@@ -9,6 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import martenloom.common.clock.Clocks;
+import martenloom.common.clock.ReactorTimer;
 import martenloom.edge.http.ErrorResponse;
 import martenloom.edge.http.HttpStatus;
 import martenloom.edge.overload.OverloadReceiver;
@@ -37,7 +38,7 @@
     private final DispatchCounters counters;
     private final OverloadReceiver overloadReports;
     private final RoundRobinCounter roundRobin;
-    private final Map<Request, Clocks.Timer> deadlines = new HashMap<>();
+    private final Map<Request, ReactorTimer> deadlines = new HashMap<>();
 
     RequestCompletion(
             Eventloop loop,
@@ -64,7 +65,7 @@
     /** Ends a request without an answer from here. */
     void finish(Request request) {
         request.become(Request.State.DONE);
-        Optional.ofNullable(deadlines.remove(request)).ifPresent(Clocks.Timer::cancel);
+        Optional.ofNullable(deadlines.remove(request)).ifPresent(ReactorTimer::cancel);
         if (request.sink() instanceof ClientConnection client) {
             client.detachRequest();
         }
@@ -96,7 +97,7 @@
             abortStream(request);
             return;
         }
-        if (request.mayHaveRun() && !request.route().repeatable()) {
+        if (request.mayHaveRun() && !request.route().retriable()) {
             fail(request, MAY_HAVE_RUN);
             return;
         }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestDispatcher.java
@@ -15,6 +15,7 @@
 import martenloom.edge.replica.ReplicaPlacement;
 import martenloom.edge.replica.ReplicaTable;
 import martenloom.edge.replica.RoutingView;
+import martenloom.routing.route.ClientLimits;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -45,7 +46,7 @@
     public RequestDispatcher(Eventloop loop, Settings settings, ReplicaTable replicaTable) {
         this.settings = settings;
         this.replicaTable = replicaTable;
-        clients = new ClientConnections(loop, settings.maxFds);
+        clients = new ClientConnections(loop, settings.maxFileDescriptors());
         cluster = new ClusterView(replicaTable);
         filter = new CandidateFilter(settings, replicaTable, cluster);
         stallDetector = new StallDetector(cluster);
@@ -109,13 +110,13 @@
      */
     public void addRequestsInFlight(LoadSummary summary) {
         for (var request : completion.openRequests()) {
-            var service = table().services.get(request.service());
-            if (!request.isJob() && service != null && service.engine) {
+            var service = table().services().get(request.service());
+            if (!request.isJob() && service != null && service.inferenceEngine()) {
                 var region =
                         request.attempt()
                                 .map(attempt -> attempt.replica().region())
-                                .orElse(settings.region);
-                summary.fly(ClusterView.regionAndModel(region, service.model));
+                                .orElse(settings.region());
+                summary.addInFlight(ClusterView.regionAndModel(region, service.model()));
             }
         }
     }
@@ -157,14 +158,14 @@
     /** Takes a record of a replica; one that is gone is dropped. */
     public void onReplica(ReplicaRecord replica) {
         replicaTable.register(replica);
-        replicaTable.find(replica.id).ifPresent(cluster::markUnloaded);
+        replicaTable.find(replica.id()).ifPresent(cluster::markUnloaded);
     }
 
     // ---- requests of clients
 
     @Override
-    public RouteTable.Limits clientLimits() {
-        return table().limits;
+    public ClientLimits clientLimits() {
+        return table().limits();
     }
 
     @Override
--- a/edge/src/main/java/martenloom/edge/dispatch/StallDetector.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/StallDetector.java
@@ -5,7 +5,7 @@
 import martenloom.edge.replica.LatencyEstimate;
 import martenloom.edge.replica.LatencyPredictor;
 import martenloom.edge.replica.ReplicaEndpoint;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * Finds replicas that have attempts in flight and are unresponsive. One that has said nothing for
@@ -62,7 +62,7 @@
 
     private static void suspect(ReplicaEndpoint replica, long nowUs) {
         if (replica.reachability().suspectedUntilUs() < nowUs) {
-            RingLog.note(
+            RingLog.debug(
                     "replica "
                             + replica.id()
                             + " is unresponsive with "
@@ -81,9 +81,9 @@
      * may pause for as many steps.
      */
     private long patienceUs(ReplicaEndpoint replica) {
-        var service = cluster.table().services.get(replica.service());
+        var service = cluster.table().services().get(replica.service());
         var latency = replica.latency();
-        if (service == null || !service.engine) {
+        if (service == null || !service.inferenceEngine()) {
             return (long)
                     Math.max(
                             LEAST_PLAIN_US,
@@ -100,9 +100,9 @@
     }
 
     private static long streamPauseUs(
-            LatencyEstimate latency, RouteTable.Service service, int pendingTokens) {
+            LatencyEstimate latency, ServiceSpec service, int pendingTokens) {
         var stepTokens =
-                Math.min(pendingTokens, LatencyPredictor.PREFILL_CHUNK_TOKENS * service.stepSize);
+                Math.min(pendingTokens, LatencyPredictor.PREFILL_CHUNK_TOKENS * service.stepSize());
         return (long)
                 (STREAM_PAUSE_BASE_US
                         + latency.roundTripUs()
--- a/edge/src/main/java/martenloom/edge/subscription/RenewalWriter.java
+++ b/edge/src/main/java/martenloom/edge/subscription/RenewalWriter.java
@@ -55,23 +55,23 @@
     public byte[] write(long revision, boolean jobsExist) {
         var now = Clocks.nowUs();
         var edge = new EdgeRecord();
-        edge.ip = settings.ip;
-        edge.name = settings.name;
-        edge.zone = settings.zone;
-        edge.region = settings.region;
-        edge.front = settings.need("Frontend");
-        edge.ready = readiness.isReady();
-        edge.leaving = readiness.isDraining();
-        edge.life = incarnation;
-        edge.seq = ++sequence;
-        edge.revision = revision;
-        edge.heardUs = now;
+        edge.setIp(settings.ipAddress());
+        edge.setName(settings.nodeName());
+        edge.setZone(settings.zone());
+        edge.setRegion(settings.region());
+        edge.setFrontendAddress(settings.requiredListenAddress("Frontend"));
+        edge.setReady(readiness.isReady());
+        edge.setDraining(readiness.isDraining());
+        edge.setIncarnation(incarnation);
+        edge.setSequence(++sequence);
+        edge.setConfigurationRevision(revision);
+        edge.setLastRenewalUs(now);
         var out = new RecordWriter(RecordType.EDGE_LEASE_RENEWAL);
         edge.write(out, now);
         return out.i64(now)
                 .text(roles.holder())
                 .texts(requestedRoles(jobsExist))
-                .texts(replicaTable.warmingUp(settings.region, routing.table(), now))
+                .texts(replicaTable.warmingUp(settings.region(), routing.table(), now))
                 .bytes();
     }
 
--- a/edge/src/main/java/martenloom/edge/transport/SocketConnection.java
+++ b/edge/src/main/java/martenloom/edge/transport/SocketConnection.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import martenloom.common.log.RingLog;
+import martenloom.common.socket.SocketReadHandler;
 import martenloom.common.socket.SocketReader;
 
 /**
@@ -14,7 +15,7 @@
  * itself until the buffer is full or reading is paused, and notifies its owner of bytes and of the
  * end. It is open until it is closed by either side, once and for good. Runs on the reactor thread.
  */
-public final class SocketConnection implements SocketReader.Owner {
+public final class SocketConnection implements SocketReadHandler {
     /** Is notified of bytes and of the end of a connection. */
     public interface Owner {
         /** There are bytes in the buffer that were not there before. */
@@ -55,7 +56,7 @@
 
     /** Begins to read. */
     public void start() {
-        reader.go();
+        reader.readWhileWanted();
     }
 
     public boolean isOpen() {
@@ -94,7 +95,7 @@
     /** Consumes bytes of the buffer, and reads on if it was full. */
     public void consume(int length) {
         if (available() >= maxBufferedBytes && available() - length < maxBufferedBytes) {
-            Reactor.getCurrentReactor().post(reader::go);
+            Reactor.getCurrentReactor().post(reader::readWhileWanted);
         }
         position += length;
         if (position == limit) {
@@ -109,16 +110,16 @@
     /** Stops or resumes reading, so that the other side is slowed down by TCP's flow control. */
     public void pauseReading(boolean paused) {
         readingPaused = paused;
-        reader.go();
+        reader.readWhileWanted();
     }
 
     @Override
-    public boolean wants() {
+    public boolean wantsMore() {
         return open && !readingPaused && available() < maxBufferedBytes;
     }
 
     @Override
-    public void take(ByteBuf bytes) {
+    public void onBytes(ByteBuf bytes) {
         var length = bytes.readRemaining();
         if (limit + length > buffer.length) {
             makeRoom(length);
@@ -139,13 +140,13 @@
     }
 
     @Override
-    public void ended() {
+    public void onEnd() {
         endedByPeer = open;
         close();
     }
 
     @Override
-    public void broke() {
+    public void onError() {
         close();
     }
 
@@ -200,7 +201,7 @@
             try {
                 tcpSocket.getSocketChannel().setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException | UnsupportedOperationException e) {
-                RingLog.note("a connection is closed without a reset: " + e.getMessage());
+                RingLog.debug("a connection is closed without a reset: " + e.getMessage());
             }
         }
         close();
