--- a/edge/src/main/java/martenloom/edge/dispatch/OverloadReduction.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/OverloadReduction.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import martenloom.edge.overload.OverloadReceiver;
+import martenloom.edge.overload.OverloadReport;
 
 /**
  * Withholds from other regions the share of requests that their overload reports ask for. A request
@@ -28,7 +29,7 @@
      */
     boolean withholds(
             Request request, String region, String model, List<String> withheldBy, long nowUs) {
-        var key = ClusterView.regionAndModel(region, model);
+        var key = OverloadReport.key(region, model);
         if (withheldBy.contains(key)) {
             return true;
         }
