--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
@@ -19,9 +19,6 @@
     private static final int RESUME_BELOW_BYTES = 1 << 16;
     private static final long RESUME_CHECK_US = 10_000;
 
-    /** With less time than this left a request counts as expired. */
-    private static final long LEAST_LEFT_US = 1000;
-
     /** What the handler needs of the dispatcher. */
     interface Owner {
         /** Starts another attempt; false when none can be started now. */
@@ -157,19 +154,18 @@
                         + attempt.replica().id()
                         + " failed: "
                         + failure);
-        var expired = now >= request.deadlineUs() - LEAST_LEFT_US;
         if (failure != Attempt.Failure.UNSENT) {
             request.countAttempt();
         }
         if (failure == Attempt.Failure.MAYBE_RUN || failure == Attempt.Failure.TRUNCATED) {
             request.markMayHaveRun();
         }
-        if (failure != Attempt.Failure.UNSENT || !expired) {
+        if (failure != Attempt.Failure.UNSENT || !RetryPolicy.isExpired(request, now)) {
             feedback.onFailure(attempt, failure, head, now);
         }
         if (!request.done()) {
             request.clearAttempt();
-            carryOut(RetryPolicy.afterFailure(request, failure, expired), attempt, now);
+            carryOut(RetryPolicy.afterFailure(request, failure, now), attempt, now);
         }
     }
 
@@ -203,7 +199,7 @@
     private void retryOrWait(Request request, long nowUs) {
         if (!owner.dispatch(request, nowUs)) {
             var replicas = replicaTable.ofService(request.service()).size();
-            if (request.triedReplicas().size() >= replicas) {
+            if (RetryPolicy.mayRepeatReplicas(request, replicas)) {
                 request.triedReplicas().clear();
             }
             owner.enqueue(request, nowUs);
--- a/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
@@ -29,6 +29,9 @@
         EXPIRE
     }
 
+    /** With less time than this left a request counts as expired. */
+    private static final long LEAST_LEFT_US = 1000;
+
     /** An attempt that was sent so shortly ago is not moved off its replica. */
     private static final long LEAST_AGE_TO_MOVE_US = 150_000;
 
@@ -56,14 +59,10 @@
                 || status == HttpStatus.SERVICE_UNAVAILABLE;
     }
 
-    /**
-     * After an attempt that failed. It has been counted if it was sent.
-     *
-     * @param expired whether the request's time is over
-     */
-    static Decision afterFailure(Request request, Attempt.Failure failure, boolean expired) {
+    /** After an attempt that failed. It has been counted if it was sent. */
+    static Decision afterFailure(Request request, Attempt.Failure failure, long nowUs) {
         if (failure == Attempt.Failure.UNSENT) {
-            return expired ? Decision.EXPIRE : Decision.RETRY_UNSENT;
+            return isExpired(request, nowUs) ? Decision.EXPIRE : Decision.RETRY_UNSENT;
         }
         if (failure == Attempt.Failure.TRUNCATED && !request.route().resumable) {
             return Decision.ABORT_STREAM;
@@ -77,6 +76,11 @@
         return request.streaming() ? Decision.RESUME : Decision.RETRY;
     }
 
+    /** Whether a request has too little time left to be sent. */
+    static boolean isExpired(Request request, long nowUs) {
+        return nowUs >= request.deadlineUs() - LEAST_LEFT_US;
+    }
+
     private static boolean attemptsExhausted(Request request) {
         return request.attemptsMade() >= request.route().tries;
     }
@@ -94,6 +98,16 @@
                 && nowUs - attempt.sentUs() >= LEAST_AGE_TO_MOVE_US;
     }
 
+    /**
+     * Whether a request that cannot be sent now may go to the replicas again that it has tried:
+     * when there are no others.
+     *
+     * @param replicas how many replicas its service has
+     */
+    static boolean mayRepeatReplicas(Request request, int replicas) {
+        return request.triedReplicas().size() >= replicas;
+    }
+
     /** Whether a request that cannot be sent now may wait for another attempt. */
     static boolean mayWaitForRetry(Request request) {
         return request.attemptsMade() == 0 || !request.mayHaveRun() || request.route().repeatable();
--- /dev/null
+++ b/edge/src/test/java/martenloom/edge/dispatch/ClientConnectionTest.java
@@ -0,0 +1,169 @@
+package martenloom.edge.dispatch;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.activej.eventloop.Eventloop;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import martenloom.common.clock.Clocks;
+import martenloom.edge.http.ErrorResponse;
+import martenloom.edge.http.MessageHead;
+import martenloom.edge.transport.FakeSocket;
+import martenloom.routing.route.RouteTable;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** How requests of a client are read, one at a time, and how their responses are framed. */
+final class ClientConnectionTest {
+    private static final RouteTable.Limits LIMITS = new RouteTable.Limits(200, 10, 1000, 2000);
+    private static final String HEAD = "POST /path HTTP/1.1\r\nHost: h\r\n";
+
+    private final List<String> events = new ArrayList<>();
+    private final FakeSocket socket = new FakeSocket();
+    private boolean shutdown;
+    private Eventloop loop;
+    private ClientConnection connection;
+
+    private final ClientConnection.RequestHandler handler =
+            new ClientConnection.RequestHandler() {
+                @Override
+                public RouteTable.Limits clientLimits() {
+                    return LIMITS;
+                }
+
+                @Override
+                public boolean closesConnections() {
+                    return shutdown;
+                }
+
+                @Override
+                public void onOpened(ClientConnection client) {
+                    events.add("opened");
+                }
+
+                @Override
+                public void onRequest(ClientConnection client, MessageHead head, byte[] body) {
+                    events.add(head.path() + " " + new String(body, StandardCharsets.ISO_8859_1));
+                }
+
+                @Override
+                public void onClosed(ClientConnection client) {
+                    events.add("closed");
+                }
+            };
+
+    @BeforeEach
+    void connect() {
+        loop = Eventloop.builder().withCurrentThread().build();
+        connection = new ClientConnection(loop, socket, handler);
+        events.clear();
+    }
+
+    @Test
+    void aSecondRequestIsReadWhenTheFirstIsAnswered() {
+        var request = HEAD + "Content-Length: 2\r\n\r\n";
+        socket.receive("\r\n" + request + "ab" + request + "cd");
+        assertEquals(List.of("/path ab"), events);
+        connection.respond("HTTP/1.1 200 OK\r\n".getBytes(), "yes".getBytes());
+        assertEquals("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes", socket.takeWritten());
+        loop.run();
+        assertEquals(List.of("/path ab", "/path cd"), events);
+    }
+
+    @Test
+    void chunkedBodiesAreTakenTogether() {
+        socket.receive(HEAD + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
+        socket.receive("1\r\nc\r\n0\r\n\r\n");
+        assertEquals(List.of("/path abc"), events);
+    }
+
+    @Test
+    void aClientThatAsksFirstIsToldToGoOn() {
+        socket.receive(HEAD + "Content-Length: 2\r\nExpect: 100-continue\r\n\r\n");
+        assertEquals("HTTP/1.1 100 Continue\r\n\r\n", socket.takeWritten());
+    }
+
+    @Test
+    void aStreamIsWrittenInChunks() {
+        socket.receive(HEAD + "\r\n");
+        connection.beginStream("HTTP/1.1 200 OK\r\n".getBytes());
+        connection.sendEvents("data: 123456789\n\n".getBytes());
+        connection.sendEvents(new byte[0]);
+        connection.endStream();
+        assertEquals(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + "11\r\ndata: 123456789\n\n\r\n0\r\n\r\n",
+                socket.takeWritten());
+        assertTrue(connection.idle());
+    }
+
+    @Test
+    void anAbortedStreamHasNoLastChunk() {
+        socket.receive(HEAD + "\r\n");
+        connection.beginStream("HTTP/1.1 200 OK\r\n".getBytes());
+        connection.abortStream();
+        assertFalse(socket.takeWritten().contains("0\r\n\r\n"));
+        assertTrue(socket.isClosed());
+    }
+
+    @Test
+    void inShutdownTheConnectionIsClosedBehindTheResponse() {
+        socket.receive(HEAD + "\r\n");
+        shutdown = true;
+        connection.respond(ErrorResponse.head(503, "0.40"), ErrorResponse.noBody());
+        assertEquals(
+                "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.40\r\n"
+                        + "Content-Length: 0\r\nConnection: close\r\n\r\n",
+                socket.takeWritten());
+        assertTrue(socket.isClosed());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "'POST /path HTTP/1.1\r\n\r\n', 400 Bad Request",
+        "'POST /path HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n', 413 Content Too Large",
+        "'POST path HTTP/1.1\r\nHost: h\r\n\r\n', 400 Bad Request"
+    })
+    void aRequestThatIsNotAcceptedIsAnsweredAndTheConnectionClosed(String request, String status) {
+        socket.receive(request);
+        assertTrue(socket.takeWritten().startsWith("HTTP/1.1 " + status + "\r\n"));
+        assertTrue(socket.isClosed());
+        assertEquals(List.of("closed"), events);
+    }
+
+    @Test
+    void aHeadIsBounded() {
+        socket.receive(HEAD + "A: " + "x".repeat(200));
+        assertTrue(socket.takeWritten().startsWith("HTTP/1.1 431 "));
+    }
+
+    @Test
+    void aSlowRequestTimesOut() {
+        socket.receive(HEAD);
+        connection.enforceTimeouts(Clocks.nowUs());
+        assertEquals("", socket.takeWritten());
+        connection.enforceTimeouts(Clocks.nowUs() + 1_600_000);
+        assertTrue(socket.takeWritten().startsWith("HTTP/1.1 408 "));
+    }
+
+    @Test
+    void anIdleConnectionIsClosedSoonerInShutdown() {
+        connection.enforceTimeouts(Clocks.nowUs() + 2_500_000);
+        assertFalse(socket.isClosed());
+        shutdown = true;
+        connection.enforceTimeouts(Clocks.nowUs() + 1_100_000);
+        assertTrue(socket.isClosed());
+    }
+
+    @Test
+    void aConnectionWithARequestInFlightDoesNotTimeOut() {
+        socket.receive(HEAD + "\r\n");
+        connection.enforceTimeouts(Clocks.nowUs() + 100_000_000);
+        assertFalse(socket.isClosed());
+    }
+}
--- a/edge/src/test/java/martenloom/edge/dispatch/RetryPolicyTest.java
+++ b/edge/src/test/java/martenloom/edge/dispatch/RetryPolicyTest.java
@@ -15,6 +15,9 @@
 /** What follows an attempt, by the route, the attempts made and how far the last one got. */
 final class RetryPolicyTest {
     private static final int MAX_ATTEMPTS = 3;
+    private static final long TOO_LATE_US =
+            RequestFixture.ARRIVED_US + RequestFixture.TIMEOUT_US - 1000;
+    private static final long IN_TIME_US = TOO_LATE_US - 1;
 
     /** A request after so many attempts that were sent. */
     private static Request request(Kind kind, boolean resumable, int attempts) {
@@ -66,8 +69,10 @@
     void whatWasNotSentIsRetriedUntilItsTimeIsOver(Kind kind) {
         var request = request(kind, false, MAX_ATTEMPTS);
         assertEquals(
-                Decision.RETRY_UNSENT, RetryPolicy.afterFailure(request, Failure.UNSENT, false));
-        assertEquals(Decision.EXPIRE, RetryPolicy.afterFailure(request, Failure.UNSENT, true));
+                Decision.RETRY_UNSENT,
+                RetryPolicy.afterFailure(request, Failure.UNSENT, IN_TIME_US));
+        assertEquals(
+                Decision.EXPIRE, RetryPolicy.afterFailure(request, Failure.UNSENT, TOO_LATE_US));
     }
 
     @ParameterizedTest
@@ -83,17 +88,17 @@
     void whatMayHaveRunIsSentAgainOnlyOnARepeatableRoute(
             Kind kind, boolean resumable, Failure failure, Decision decision) {
         var request = request(kind, resumable, 1);
-        assertEquals(decision, RetryPolicy.afterFailure(request, failure, false));
+        assertEquals(decision, RetryPolicy.afterFailure(request, failure, IN_TIME_US));
     }
 
     @Test
     void aTruncatedStreamIsResumedOnlyOnAResumableRoute() {
         assertEquals(
                 Decision.RESUME,
-                RetryPolicy.afterFailure(stream(true, 1), Failure.TRUNCATED, false));
+                RetryPolicy.afterFailure(stream(true, 1), Failure.TRUNCATED, IN_TIME_US));
         assertEquals(
                 Decision.ABORT_STREAM,
-                RetryPolicy.afterFailure(stream(false, 1), Failure.TRUNCATED, false));
+                RetryPolicy.afterFailure(stream(false, 1), Failure.TRUNCATED, IN_TIME_US));
     }
 
     @ParameterizedTest
@@ -102,7 +107,7 @@
             names = {"REJECTED", "MAYBE_RUN"})
     void attemptsAreBounded(Failure failure) {
         var request = request(Kind.IDEMPOTENT, false, MAX_ATTEMPTS);
-        assertEquals(Decision.GIVE_UP, RetryPolicy.afterFailure(request, failure, false));
+        assertEquals(Decision.GIVE_UP, RetryPolicy.afterFailure(request, failure, IN_TIME_US));
     }
 
     @Test
@@ -115,4 +120,12 @@
         repeatable.markMayHaveRun();
         assertTrue(RetryPolicy.mayWaitForRetry(repeatable));
     }
+
+    @Test
+    void replicasAreTriedAgainOnlyWhenThereAreNoOthers() {
+        var request = request(Kind.IDEMPOTENT, false, 1);
+        request.triedReplicas().add("one");
+        assertFalse(RetryPolicy.mayRepeatReplicas(request, 2));
+        assertTrue(RetryPolicy.mayRepeatReplicas(request, 1));
+    }
 }
