--- a/edge/src/test/java/martenloom/edge/dispatch/ClientConnectionTest.java
+++ b/edge/src/test/java/martenloom/edge/dispatch/ClientConnectionTest.java
@@ -12,7 +12,7 @@
 import martenloom.edge.http.ErrorResponse;
 import martenloom.edge.http.MessageHead;
 import martenloom.edge.transport.FakeSocket;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ClientLimits;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -20,7 +20,7 @@
 
 /** How requests of a client are read, one at a time, and how their responses are framed. */
 final class ClientConnectionTest {
-    private static final RouteTable.Limits LIMITS = new RouteTable.Limits(200, 10, 1000, 2000);
+    private static final ClientLimits LIMITS = new ClientLimits(200, 10, 1000, 2000);
     private static final String HEAD = "POST /path HTTP/1.1\r\nHost: h\r\n";
 
     private final List<String> events = new ArrayList<>();
@@ -32,7 +32,7 @@
     private final ClientConnection.RequestHandler handler =
             new ClientConnection.RequestHandler() {
                 @Override
-                public RouteTable.Limits clientLimits() {
+                public ClientLimits clientLimits() {
                     return LIMITS;
                 }
 
--- a/edge/src/test/java/martenloom/edge/dispatch/RequestFixture.java
+++ b/edge/src/test/java/martenloom/edge/dispatch/RequestFixture.java
@@ -3,7 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import martenloom.edge.http.MessageHead;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.Route;
+import martenloom.routing.route.RouteKind;
 
 /** Requests for tests of the rules, and a sink that records what it is given. */
 final class RequestFixture {
@@ -12,19 +13,19 @@
 
     private RequestFixture() {}
 
-    static RouteTable.Route route(RouteTable.Kind kind, boolean resumable, int attempts) {
-        var route = new RouteTable.Route();
-        route.name = "route";
-        route.kind = kind;
-        route.resumable = resumable;
-        route.tries = attempts;
-        route.timeoutUs = TIMEOUT_US;
-        route.aimUs = 500_000;
-        return route;
+    static Route route(RouteKind kind, boolean resumable, int attempts) {
+        return Route.builder()
+                .name("route")
+                .kind(kind)
+                .resumable(resumable)
+                .maxAttempts(attempts)
+                .timeoutUs(TIMEOUT_US)
+                .latencyTargetUs(500_000)
+                .build();
     }
 
     /** A request with these header fields, each a name and a value. */
-    static Request request(RouteTable.Route route, String... fields) {
+    static Request request(Route route, String... fields) {
         var head = MessageHead.newRequest("POST", "/path");
         for (var i = 0; i < fields.length; i += 2) {
             head.set(fields[i], fields[i + 1]);
--- a/edge/src/test/java/martenloom/edge/dispatch/RequestTest.java
+++ b/edge/src/test/java/martenloom/edge/dispatch/RequestTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import martenloom.routing.route.RouteTable;
-import martenloom.routing.route.RouteTable.Kind;
+import martenloom.routing.route.Route;
+import martenloom.routing.route.RouteKind;
 import org.junit.jupiter.api.Test;
 
 /** Deadlines by client and route, and the head with which a request is forwarded. */
 final class RequestTest {
     private static final long ARRIVED_US = RequestFixture.ARRIVED_US;
-    private static final RouteTable.Route ROUTE = RequestFixture.route(Kind.IDEMPOTENT, false, 1);
+    private static final Route ROUTE = RequestFixture.route(RouteKind.IDEMPOTENT, false, 1);
 
     @Test
     void theDeadlineIsThatOfTheRouteOrOfTheClientIfThatIsSooner() {
--- a/edge/src/test/java/martenloom/edge/dispatch/RetryPolicyTest.java
+++ b/edge/src/test/java/martenloom/edge/dispatch/RetryPolicyTest.java
@@ -6,7 +6,7 @@
 
 import martenloom.edge.dispatch.Attempt.Failure;
 import martenloom.edge.dispatch.RetryPolicy.Decision;
-import martenloom.routing.route.RouteTable.Kind;
+import martenloom.routing.route.RouteKind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,7 +20,7 @@
     private static final long IN_TIME_US = TOO_LATE_US - 1;
 
     /** A request after so many attempts that were sent. */
-    private static Request request(Kind kind, boolean resumable, int attempts) {
+    private static Request request(RouteKind kind, boolean resumable, int attempts) {
         var request = RequestFixture.request(RequestFixture.route(kind, resumable, MAX_ATTEMPTS));
         for (var i = 0; i < attempts; i++) {
             request.countAttempt();
@@ -30,7 +30,7 @@
     }
 
     private static Request stream(boolean resumable, int attempts) {
-        var request = request(Kind.STREAMING, resumable, attempts);
+        var request = request(RouteKind.STREAMING, resumable, attempts);
         request.become(Request.State.STREAMING);
         return request;
     }
@@ -49,13 +49,13 @@
         "NON_IDEMPOTENT, 503, FAIL_MAY_HAVE_RUN"
     })
     void aResponseIsPassedOnUnlessItMayBeBetterOrPromisesTooMuch(
-            Kind kind, int status, Decision decision) {
+            RouteKind kind, int status, Decision decision) {
         assertEquals(decision, RetryPolicy.afterResponse(request(kind, false, 1), status));
     }
 
     @Test
     void theLastResponseIsPassedOn() {
-        var request = request(Kind.IDEMPOTENT, false, MAX_ATTEMPTS);
+        var request = request(RouteKind.IDEMPOTENT, false, MAX_ATTEMPTS);
         assertEquals(Decision.ANSWER, RetryPolicy.afterResponse(request, 500));
     }
 
@@ -65,8 +65,8 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Kind.class)
-    void whatWasNotSentIsRetriedUntilItsTimeIsOver(Kind kind) {
+    @EnumSource(RouteKind.class)
+    void whatWasNotSentIsRetriedUntilItsTimeIsOver(RouteKind kind) {
         var request = request(kind, false, MAX_ATTEMPTS);
         assertEquals(
                 Decision.RETRY_UNSENT,
@@ -86,7 +86,7 @@
         "STREAMING, false, MAYBE_RUN, FAIL_MAY_HAVE_RUN"
     })
     void whatMayHaveRunIsSentAgainOnlyOnARepeatableRoute(
-            Kind kind, boolean resumable, Failure failure, Decision decision) {
+            RouteKind kind, boolean resumable, Failure failure, Decision decision) {
         var request = request(kind, resumable, 1);
         assertEquals(decision, RetryPolicy.afterFailure(request, failure, IN_TIME_US));
     }
@@ -106,24 +106,24 @@
             value = Failure.class,
             names = {"REJECTED", "MAYBE_RUN"})
     void attemptsAreBounded(Failure failure) {
-        var request = request(Kind.IDEMPOTENT, false, MAX_ATTEMPTS);
+        var request = request(RouteKind.IDEMPOTENT, false, MAX_ATTEMPTS);
         assertEquals(Decision.GIVE_UP, RetryPolicy.afterFailure(request, failure, IN_TIME_US));
     }
 
     @Test
     void aRequestWaitsForARetryOnlyIfItMayRunAgain() {
-        var request = request(Kind.NON_IDEMPOTENT, false, 1);
+        var request = request(RouteKind.NON_IDEMPOTENT, false, 1);
         assertTrue(RetryPolicy.mayWaitForRetry(request), "it was rejected, not run");
         request.markMayHaveRun();
         assertFalse(RetryPolicy.mayWaitForRetry(request));
-        var repeatable = request(Kind.IDEMPOTENT, false, 1);
+        var repeatable = request(RouteKind.IDEMPOTENT, false, 1);
         repeatable.markMayHaveRun();
         assertTrue(RetryPolicy.mayWaitForRetry(repeatable));
     }
 
     @Test
     void replicasAreTriedAgainOnlyWhenThereAreNoOthers() {
-        var request = request(Kind.IDEMPOTENT, false, 1);
+        var request = request(RouteKind.IDEMPOTENT, false, 1);
         request.triedReplicas().add("one");
         assertFalse(RetryPolicy.mayRepeatReplicas(request, 2));
         assertTrue(RetryPolicy.mayRepeatReplicas(request, 1));
