--- a/edge/src/test/java/martenloom/edge/budget/RetryBudgetTest.java
+++ b/edge/src/test/java/martenloom/edge/budget/RetryBudgetTest.java
@@ -2,43 +2,60 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
 /** The shares of all edges together stay inside the common budget in every window. */
 final class RetryBudgetTest {
+    private static final int EDGES = 7;
+    private static final double RATIO = 0.2;
+    private static final double SLACK = 54;
+    private static final int WINDOW_S = 10;
+
+    /** Tenths of a second: the length of the trial, of its busy part, and of a window. */
+    private static final int STEPS = 400;
+
+    private static final int BUSY_STEPS = 200;
+    private static final int WINDOW_STEPS = 100;
+    private static final long STEP_US = 100_000;
+    private static final long FIRST_US = 5;
+    private static final int REQUESTS_PER_STEP = 3;
+    private static final int RETRIES_PER_STEP = 5;
+
+    private final int[] requests = new int[STEPS];
+    private final int[] retries = new int[STEPS];
+
+    private void run(RetryBudget budget, int step) {
+        var now = step * STEP_US + FIRST_US;
+        for (var i = 0; i < (step < BUSY_STEPS ? REQUESTS_PER_STEP : 0); i++) {
+            budget.onRequest("service", now);
+            requests[step]++;
+        }
+        for (var i = 0; i < RETRIES_PER_STEP; i++) {
+            retries[step] += budget.trySpend("service", EDGES, now) ? 1 : 0;
+        }
+    }
+
+    private static int sum(int[] counts, int from, int to) {
+        return Arrays.stream(counts, from, to).sum();
+    }
+
     @Test
     void allEdgesTogetherKeepTheBudgetInEveryWindow() {
-        var edges = 7;
-        var budgets = new RetryBudget[edges];
-        for (var i = 0; i < edges; i++) {
-            budgets[i] = new RetryBudget(0.2, 10, 54);
-        }
-        var requests = new int[400];
-        var repeats = new int[400];
-        for (var t = 0; t < 400; t++) {
-            var now = t * 100_000L + 5;
-            for (var p : budgets) {
-                for (var k = 0; k < (t < 200 ? 3 : 0); k++) {
-                    p.onRequest("s", now);
-                    requests[t]++;
-                }
-                for (var k = 0; k < 5; k++) {
-                    repeats[t] += p.trySpend("s", edges, now) ? 1 : 0;
-                }
+        var budgets = new RetryBudget[EDGES];
+        Arrays.setAll(budgets, index -> new RetryBudget(RATIO, WINDOW_S, SLACK));
+        for (var step = 0; step < STEPS; step++) {
+            for (var budget : budgets) {
+                run(budget, step);
             }
         }
-        for (var t = 0; t + 100 <= 400; t++) {
-            var e = 0;
-            var r = 0;
-            for (var i = t; i < t + 100; i++) {
-                e += requests[i];
-                r += repeats[i];
-            }
-            var before = 0;
-            for (var i = Math.max(0, t - 100); i < t; i++) {
-                before += requests[i];
-            }
-            assertTrue(r <= 0.2 * Math.max(e, before) + 54, "window at " + t + ": " + r);
+        for (var from = 0; from + WINDOW_STEPS <= STEPS; from++) {
+            var within = sum(requests, from, from + WINDOW_STEPS);
+            var before = sum(requests, Math.max(0, from - WINDOW_STEPS), from);
+            var spent = sum(retries, from, from + WINDOW_STEPS);
+            assertTrue(
+                    spent <= RATIO * Math.max(within, before) + SLACK,
+                    "window at " + from + ": " + spent);
         }
     }
 }
--- a/edge/src/test/java/martenloom/edge/replica/PrefixOwnersTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/PrefixOwnersTest.java
@@ -18,20 +18,20 @@
 
     @Test
     void aSendingIsReportedOnceAndTheNewestCounts() {
-        var a = new PrefixOwners();
-        var b = new PrefixOwners();
-        a.onSent("part", "r1");
-        assertFalse(a.isAllReported());
-        b.readReported(reported(a));
-        assertEquals("r1", b.ownerOf("part").get());
-        a.onSent("part", "r2");
-        b.readReported(reported(a));
-        assertEquals("r2", b.ownerOf("part").get());
-        assertTrue(a.isAllReported());
+        var sender = new PrefixOwners();
+        var receiver = new PrefixOwners();
+        sender.onSent("part", "r1");
+        assertFalse(sender.isAllReported());
+        receiver.readReported(reported(sender));
+        assertEquals("r1", receiver.ownerOf("part").get());
+        sender.onSent("part", "r2");
+        receiver.readReported(reported(sender));
+        assertEquals("r2", receiver.ownerOf("part").get());
+        assertTrue(sender.isAllReported());
         var again = new PrefixOwners();
-        again.readReported(reported(a));
+        again.readReported(reported(sender));
         assertTrue(again.ownerOf("part").isEmpty(), "what was reported is not reported again");
-        assertTrue(reported(b).texts().isEmpty(), "what was heard is not passed on");
+        assertTrue(reported(receiver).texts().isEmpty(), "what was heard is not passed on");
     }
 
     @Test
--- a/edge/src/test/java/martenloom/edge/replica/ReachabilityTest.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReachabilityTest.java
@@ -1,67 +1,57 @@
 package martenloom.edge.replica;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import martenloom.common.fleet.ReplicaRecord;
-import martenloom.common.settings.Settings;
-import martenloom.common.settings.SettingsFile;
 import org.junit.jupiter.api.Test;
 
 /**
- * The backoff of a replica that goes down and up by turns doubles to a bound and is forgotten after
- * a calm while; so is the trust in idle connections bounded.
+ * When a replica is suspected: after failures of its own, and by the suspicions of other edges,
+ * unless an edge of the zone hears it.
  */
 final class ReachabilityTest {
-    private static final Settings SETTINGS =
-            SettingsFile.parse(
-                    "NodeName = \"e\"\n"
-                            + "IpAddress = \"10.0.0.1\"\n"
-                            + "Zone = \"a\"\n"
-                            + "Region = \"g\"\n"
-                            + "InternalPortRange = [1,2]\n"
-                            + "SeedNodes = []\n"
-                            + "Serves = []\n"
-                            + "[Zones]\n"
-                            + "a = \"g\"\n"
-                            + "[ListenAddresses]\n");
+    private static final long NOW_US = 1_000_000_000;
+    private static final long BACKOFF_US = 700_000;
+    private static final long SAME_FAILURE_US = 1000;
+    private static final long BETWEEN_FAILURES_US = 3_000_000;
+    private static final long CALM_US = 20_000_000;
+    private static final long PEER_TOTALS_VALID_US = 700_000;
+    private static final int PEERS_IN_FLIGHT = 4;
 
-    private static ReplicaEndpoint replica() {
-        var registration = new ReplicaRecord();
-        registration.setId("i");
-        registration.setAddress("10.0.0.9:80");
-        registration.setZone("a");
-        registration.setSequence(1);
-        var replicaTable = new ReplicaTable(SETTINGS);
-        replicaTable.register(registration);
-        return replicaTable.find("i").get();
-    }
+    private final ReplicaEndpoint replica =
+            ReplicaFixture.replica(ReplicaFixture.table(), "replica");
+    private final Reachability reachability = replica.reachability();
 
     @Test
     void theBackoffDoublesToABoundAndIsForgotten() {
-        var replica = replica();
-        var now = 1_000_000_000L;
-        for (var times : new int[] {1, 2, 4, 4, 4}) {
-            replica.reachability().onUnreachable(700_000, now);
-            replica.reachability().onUnreachable(700_000, now + 1000);
+        var now = NOW_US;
+        for (var factor : new int[] {1, 2, 4, 4, 4}) {
+            reachability.onUnreachable(BACKOFF_US, now);
+            reachability.onUnreachable(BACKOFF_US, now + SAME_FAILURE_US);
             assertEquals(
-                    now + 1000 + 700_000L * times,
-                    replica.reachability().suspectedUntilUs(),
+                    now + SAME_FAILURE_US + BACKOFF_US * factor,
+                    reachability.suspectedUntilUs(),
                     "the same failure counts once");
-            now += 3_000_000;
+            now += BETWEEN_FAILURES_US;
         }
-        now += 20_000_000;
-        replica.reachability().onUnreachable(700_000, now);
-        assertEquals(now + 700_000, replica.reachability().suspectedUntilUs());
+        now += CALM_US;
+        reachability.onUnreachable(BACKOFF_US, now);
+        assertEquals(now + BACKOFF_US, reachability.suspectedUntilUs());
     }
 
     @Test
-    void anIdleConnectionThatWasResetShortensTheTrustAndNeverToNothing() {
-        var replica = replica();
-        replica.connections().onIdleReset(5_000_000);
-        assertEquals(3_000_000, replica.connections().idleTrustUs());
-        replica.connections().onIdleReset(9_000_000);
-        assertEquals(3_000_000, replica.connections().idleTrustUs());
-        replica.connections().onIdleReset(1);
-        assertEquals(200_000, replica.connections().idleTrustUs());
+    void aSuspicionCountsOnlyWhileNobodyOfTheZoneHearsTheReplica() {
+        reachability.onHeard(0);
+        replica.onPeerTotals(PEERS_IN_FLIGHT, 0, 1, 0, NOW_US);
+        assertTrue(reachability.peersSuspect(NOW_US));
+        assertFalse(reachability.peersHear(NOW_US));
+        replica.onPeerTotals(PEERS_IN_FLIGHT, 0, 1, 2, NOW_US);
+        assertFalse(reachability.peersSuspect(NOW_US), "one edge's silence is not the replica's");
+        assertTrue(reachability.peersHear(NOW_US));
+        assertFalse(
+                reachability.peersHear(NOW_US + PEER_TOTALS_VALID_US), "old totals say nothing");
+        replica.onPeerTotals(PEERS_IN_FLIGHT, 0, 0, 0, NOW_US);
+        assertFalse(reachability.peersSuspect(NOW_US));
     }
 }
