--- a/edge/src/main/java/martenloom/edge/jobs/JobReports.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobReports.java
@@ -9,8 +9,8 @@
 import martenloom.edge.home.CoreRequests;
 
 /**
- * Writes what the core is told of jobs and of their runs. Every report names the run that it is
- * about, so that a copy which comes late changes nothing. Runs on the reactor thread.
+ * Reports the runs of jobs to the core. Every report names the run that it is about, so that a copy
+ * which comes late changes nothing. Runs on the reactor thread.
  */
 final class JobReports {
     private final CoreRequests core;
@@ -23,12 +23,13 @@
         this.runner = runner;
     }
 
-    /** Starts the run after those that the listing counts; an accepted reply brings the job. */
-    void start(JobListing listing, long fencingToken, Consumer<CoreReply> onReply) {
-        core.send(
-                new CoreRequest(
-                        CoreCommand.START_JOB, listing.id(), fencingToken, listing.runs(), runner),
-                onReply);
+    /**
+     * Starts the next run of a job; an accepted reply brings the job.
+     *
+     * @param last the last run that is known of
+     */
+    void start(RunId last, Consumer<CoreReply> onReply) {
+        send(CoreCommand.START_JOB, last, runner, onReply);
     }
 
     /**
@@ -37,13 +38,9 @@
      * @param offset where it begins in the whole output, in bytes
      */
     void append(
-            JobRun run,
-            String lastEventId,
-            int offset,
-            byte[] output,
-            Consumer<CoreReply> onReply) {
+            RunId run, String lastEventId, int offset, byte[] output, Consumer<CoreReply> onReply) {
         var body = new RecordWriter().text(lastEventId).i32(offset).blob(output);
-        send(CoreCommand.APPEND_JOB_OUTPUT, run, body, onReply);
+        send(CoreCommand.APPEND_JOB_OUTPUT, run, encode(body), onReply);
     }
 
     /**
@@ -51,42 +48,20 @@
      *
      * @param offset where the rest of the output begins in the whole, in bytes
      */
-    void finish(JobRun run, int status, int offset, byte[] rest, Consumer<CoreReply> onReply) {
+    void finish(RunId run, int status, int offset, byte[] rest, Consumer<CoreReply> onReply) {
         var body = new RecordWriter().i32(status).i32(offset).blob(rest);
-        send(CoreCommand.FINISH_JOB, run, body, onReply);
+        send(CoreCommand.FINISH_JOB, run, encode(body), onReply);
     }
 
     /** Ends a run that brought no result. */
-    void giveBack(JobRun run, RunFailure failure, String reason, Consumer<CoreReply> onReply) {
-        send(CoreCommand.RETURN_JOB, run, failureBody(failure, reason), onReply);
-    }
-
-    /** Ends the run that a listing names, which this edge does not have. */
-    void giveBack(
-            JobListing listing,
-            long fencingToken,
-            RunFailure failure,
-            String reason,
-            Consumer<CoreReply> onReply) {
-        core.send(
-                new CoreRequest(
-                        CoreCommand.RETURN_JOB,
-                        listing.id(),
-                        fencingToken,
-                        listing.runs(),
-                        encode(failureBody(failure, reason))),
-                onReply);
-    }
-
-    private static RecordWriter failureBody(RunFailure failure, String reason) {
-        return new RecordWriter().u8(failure.ordinal()).text(reason);
+    void giveBack(RunId run, RunFailure failure, String reason, Consumer<CoreReply> onReply) {
+        var body = new RecordWriter().u8(failure.ordinal()).text(reason);
+        send(CoreCommand.RETURN_JOB, run, encode(body), onReply);
     }
 
-    private void send(
-            CoreCommand command, JobRun run, RecordWriter body, Consumer<CoreReply> onReply) {
+    private void send(CoreCommand command, RunId run, String body, Consumer<CoreReply> onReply) {
         core.send(
-                new CoreRequest(
-                        command, run.jobId(), run.fencingToken(), run.number(), encode(body)),
+                new CoreRequest(command, run.jobId(), run.fencingToken(), run.number(), body),
                 onReply);
     }
 
--- a/edge/src/main/java/martenloom/edge/jobs/JobRun.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRun.java
@@ -50,7 +50,7 @@
 
     private final Job job;
     private final JobLease lease;
-    private final long fencingToken;
+    private final RunId id;
     private final JobReports reports;
     private final Scheduler scheduler;
     private final Owner owner;
@@ -72,22 +72,12 @@
         this.reports = reports;
         this.scheduler = scheduler;
         this.owner = owner;
-        fencingToken = lease.fencingToken();
+        id = new RunId(job.id(), lease.fencingToken(), job.attempts());
         savedBytes = job.checkpoint().length;
     }
 
-    String jobId() {
-        return job.id();
-    }
-
-    /** The fencing token under which the run began. */
-    long fencingToken() {
-        return fencingToken;
-    }
-
-    /** The number of the run among those of its job. */
-    int number() {
-        return job.attempts();
+    RunId id() {
+        return id;
     }
 
     /** The request that was started for the run, if one could be. */
@@ -175,7 +165,7 @@
     /** The same report again until its outcome is known; its offset makes that harmless. */
     private void save(String lastEventId, byte[] unsaved, int attempts) {
         reports.append(
-                this,
+                id,
                 lastEventId,
                 savedBytes,
                 unsaved,
@@ -198,18 +188,18 @@
     private void reportResult(int status) {
         reportEnd(
                 "result",
-                onReply -> reports.finish(this, status, savedBytes, output.toByteArray(), onReply),
+                onReply -> reports.finish(id, status, savedBytes, output.toByteArray(), onReply),
                 0);
     }
 
     void reportFailure(RunFailure failure, String reason) {
-        reportEnd(failure.name(), onReply -> reports.giveBack(this, failure, reason, onReply), 0);
+        reportEnd(failure.name(), onReply -> reports.giveBack(id, failure, reason, onReply), 0);
     }
 
     /** Reports the end until the core has a reply or the lease is lost. */
     private void reportEnd(String kind, EndReport report, int attempts) {
         over = true;
-        if (!lease.isHeldWith(fencingToken)) {
+        if (!lease.isHeldWith(id.fencingToken())) {
             owner.onEnded(this);
             return;
         }
--- a/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRunner.java
@@ -99,13 +99,13 @@
 
     @Override
     public void onEnded(JobRun run) {
-        runs.remove(run.jobId());
+        runs.remove(run.id().jobId());
     }
 
     @Override
     public void abandon(JobRun run, String reason) {
-        RingLog.debug("job " + run.jobId() + " is abandoned: " + reason);
-        runs.remove(run.jobId());
+        RingLog.debug("job " + run.id().jobId() + " is abandoned: " + reason);
+        runs.remove(run.id().jobId());
         run.abandon();
         run.request().ifPresent(dispatcher::cancelJob);
     }
@@ -133,7 +133,9 @@
         var listed = new HashSet<String>();
         listings.forEach(listing -> listed.add(listing.id()));
         for (var run : List.copyOf(runs.values())) {
-            if (!listed.contains(run.jobId()) && !run.isOver() && ageUs(run) > MIN_UNLISTED_US) {
+            if (!listed.contains(run.id().jobId())
+                    && !run.isOver()
+                    && ageUs(run) > MIN_UNLISTED_US) {
                 abandon(run, "it is no longer live");
             }
         }
@@ -168,8 +170,7 @@
         var id = listing.id();
         pending.add(id);
         reports.giveBack(
-                listing,
-                lease.fencingToken(),
+                lastRun(listing),
                 ran.contains(id) ? RunFailure.MAY_HAVE_RUN : RunFailure.NOT_RUN,
                 "it was let go",
                 reply -> scheduler.after(GIVEN_BACK_PAUSE_US, () -> pending.remove(id)));
@@ -187,9 +188,13 @@
             return;
         }
         pending.add(listing.id());
-        var fencingToken = lease.fencingToken();
-        reports.start(
-                listing, fencingToken, reply -> onStarted(listing, urgency, fencingToken, reply));
+        var last = lastRun(listing);
+        reports.start(last, reply -> onStarted(listing, urgency, last.fencingToken(), reply));
+    }
+
+    /** The last run that a listing counts, as this edge refers to it under its own lease. */
+    private RunId lastRun(JobListing listing) {
+        return new RunId(listing.id(), lease.fencingToken(), listing.runs());
     }
 
     private void onStarted(JobListing listing, int urgency, long fencingToken, CoreReply reply) {
@@ -205,7 +210,7 @@
         runs.put(job.id(), run);
         ran.add(job.id());
         started++;
-        var head = requestHead(job, run.fencingToken(), leftUs);
+        var head = requestHead(job, run.id().fencingToken(), leftUs);
         run.setRequest(dispatcher.startJob(head, job.body(), run, urgency, job.lastEventId()));
         if (run.request().isEmpty()) {
             run.reportFailure(RunFailure.NOT_RUN, "no room when it was to start");
