--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -44,6 +44,7 @@
 import martenloom.core.registry.RegistryCheckpoint;
 import martenloom.core.registry.ReplicaUpdatePublisher;
 import martenloom.core.state.ClusterState;
+import martenloom.core.storage.StorageFolder;
 import martenloom.core.storage.VersionedStore;
 import martenloom.core.warmup.WarmupPermitLender;
 
@@ -90,7 +91,7 @@
     private final EdgeLeaseRenewals renewals;
     private final ShellQueries shellQueries;
 
-    public CoreDaemon(Settings settings, Eventloop loop, VersionedStore.Folder folder) {
+    public CoreDaemon(Settings settings, Eventloop loop, StorageFolder folder) {
         var startUs = Clocks.nowUs();
         this.settings = settings;
         this.loop = loop;
@@ -129,18 +130,18 @@
     /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
     private ChainMember chain(Optional<ChainMember.MemberState> onDisk) {
         var disk = onDisk;
-        if (disk.isEmpty() && !store.damaged() && settings.bootstrap() && founder()) {
+        if (disk.isEmpty() && !store.isDamaged() && settings.bootstrap() && founder()) {
             disk = Optional.of(founded());
-            store.keep(disk.get().bytes());
+            store.write(disk.get().bytes());
         }
         RingLog.debug(
                 "core "
                         + settings.nodeName()
                         + " starts, disk "
-                        + disk.map(member -> "edition " + member.state.edition).orElse("empty"));
+                        + disk.map(member -> "edition " + member.state.edition()).orElse("empty"));
         var life = new SecureRandom().nextLong();
         var core = new ChainMember(settings.ipAddress(), life, disk, nearness(), Clocks.nowUs());
-        core.onAway(store.awayUs());
+        core.onAway(store.downtimeUs());
         core.onLeastRoster(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
         return core;
     }
@@ -173,12 +174,12 @@
                         InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
         listenForCallers();
-        peers.dialAll(chain.memberState().state.roster);
+        peers.dialAll(chain.memberState().state.roster().members());
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, FLOOD_US, replicaNews::flood);
         Clocks.every(loop, DIGEST_US, this::mend);
-        Clocks.every(loop, SUM_US, loads::exchange);
+        Clocks.every(loop, SUM_US, loads::publish);
         RingLog.info(
                 "core "
                         + settings.nodeName()
@@ -294,7 +295,7 @@
 
     private void keep(ChainMember.Store write) {
         loop.startExternalTask();
-        store.keepLater(
+        store.writeAsync(
                 () -> write.memberState().bytes(),
                 () -> {
                     loop.execute(() -> onStored(write.token()));
@@ -310,12 +311,12 @@
     private void onCommitted(ClusterState state) {
         RingLog.debug(
                 "committed edition "
-                        + state.edition
+                        + state.edition()
                         + " revision "
-                        + state.revision
+                        + state.configuration().revision()
                         + " in view "
                         + chain.view());
-        peers.dialAll(state.roster);
+        peers.dialAll(state.roster().members());
         configurations.onCommitted(state);
     }
 
@@ -339,12 +340,12 @@
             case RecordType.ORDER_REQUEST -> orders.onOrder(link, in);
             case RecordType.ORDER_RESPONSE -> peerRequests.onAnswer(link, in);
             case RecordType.EDGE_LEASE_RENEWAL -> renewals.onRenew(link, in, Clocks.nowUs());
-            case RecordType.LOAD_SAMPLE -> loads.onSample(in);
+            case RecordType.LOAD_SAMPLE -> loads.onEdgeSample(in);
             case RecordType.HOME_LOAD -> loads.onHomeSum(in);
             case RecordType.OVERLOAD_REPORT -> dutyRelay.onReport(link, record, in);
             case RecordType.RESYNC_REQUEST -> renewals.onResync(link, Clocks.nowUs());
             case RecordType.EDGE_REQUEST -> orders.onEdgeOrder(link, in);
-            case RecordType.LEASE_REQUEST -> dutyRelay.onWant(link, in);
+            case RecordType.LEASE_REQUEST -> dutyRelay.onRequest(link, in);
             case RecordType.LEASE_GRANT -> dutyRelay.onGrant(link, record, in);
             case RecordType.SHELL_QUERY -> answerQuery(link, in.text());
             default -> RingLog.debug("link " + link.peer() + ": unknown record " + type);
@@ -366,6 +367,6 @@
 
     private void edgeLost(String edgeIp) {
         configurations.forget(edgeIp);
-        loads.edgeLost(edgeIp);
+        loads.removeEdge(edgeIp);
     }
 }
--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -97,8 +97,8 @@
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
     public void forgetGone(long now) {
-        var needed = new TreeSet<>(chain.memberState().state.roster);
-        needed.addAll(chain.committed().roster);
+        var needed = new TreeSet<>(chain.memberState().state.roster().members());
+        needed.addAll(chain.committed().roster().members());
         needed.addAll(seedIps(settings));
         for (var ip : List.copyOf(dials.keySet())) {
             if (needed.contains(ip) || link(ip).isPresent()) {
@@ -131,7 +131,7 @@
 
     /** The roster and who is reached beside it: where an edge or a new core daemon may turn to. */
     public Collection<String> reachable() {
-        var ips = new TreeSet<>(chain.committed().roster);
+        var ips = new TreeSet<>(chain.committed().roster().members());
         dials.forEach((ip, dial) -> dial.link().ifPresent(link -> ips.add(ip)));
         ips.add(settings.ipAddress());
         return ips;
@@ -182,7 +182,7 @@
     // ---- regions
 
     /** Whether a peer has made itself known as one of our region. */
-    public boolean ofOurRegion(String ip) {
+    public boolean isInOwnRegion(String ip) {
         return settings.region().equals(regions.getOrDefault(ip, ""));
     }
 
@@ -190,7 +190,7 @@
     public int homesInRegion() {
         var others =
                 regions.keySet().stream()
-                        .filter(ip -> ofOurRegion(ip) && !ip.equals(settings.ipAddress()))
+                        .filter(ip -> isInOwnRegion(ip) && !ip.equals(settings.ipAddress()))
                         .count();
         return 1 + (int) others;
     }
@@ -200,7 +200,7 @@
      * region of a member is not known, empty when all lie in allowed regions.
      */
     public String regionOutside(Set<String> allowed) {
-        for (var member : chain.committed().roster) {
+        for (var member : chain.committed().roster().members()) {
             var region =
                     member.equals(settings.ipAddress())
                             ? settings.region()
--- a/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
+++ b/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
@@ -94,6 +94,6 @@
     }
 
     public void sweep(long now) {
-        leases.sweep(now);
+        leases.removeExpired(now);
     }
 }
--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
@@ -15,7 +15,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 
 /**
@@ -122,10 +122,7 @@
                 loop(
                         "core",
                         l ->
-                                new CoreDaemon(
-                                                core,
-                                                l,
-                                                new VersionedStore.RealFolder(core.dataDirectory()))
+                                new CoreDaemon(core, l, new FileSystemFolder(core.dataDirectory()))
                                         .start());
         var n = new CompletableFuture<EdgeDaemon>();
         var b =
--- a/launcher/src/test/java/martenloom/launcher/rig/Rig.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/Rig.java
@@ -31,7 +31,7 @@
 import martenloom.common.settings.Settings;
 import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.VersionedStore;
+import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
@@ -459,11 +459,7 @@
         for (var i = 0; i < z.cores; i++) {
             var p = settings(core(i), i, true);
             var l = loop("core-" + net + "-" + i, coreThreads);
-            on(
-                    l,
-                    () ->
-                            new CoreDaemon(p, l, new VersionedStore.RealFolder(p.dataDirectory()))
-                                    .start());
+            on(l, () -> new CoreDaemon(p, l, new FileSystemFolder(p.dataDirectory())).start());
         }
         var parts = Math.min(16, z.replicas);
         for (var i = 0; i < parts; i++) {
