--- a/edge/src/main/java/martenloom/edge/admin/ShellQueries.java
+++ b/edge/src/main/java/martenloom/edge/admin/ShellQueries.java
@@ -15,8 +15,8 @@
 
 /**
  * Answers the queries of the shell about this edge as plain text. A query never changes what the
- * edge does; an unknown one is answered by the list of those that exist. Runs on the thread of the
- * reactor.
+ * edge does; an unknown one is answered by the list of those that exist. Runs on the reactor
+ * thread.
  */
 public final class ShellQueries {
     private static final int LOG_LINES = 200;
--- a/edge/src/main/java/martenloom/edge/home/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeConnection.java
@@ -55,8 +55,7 @@
     private boolean synced;
 
     /**
-     * A daemon that is asked whether it would be a better home; the present one is kept until it
-     * says so.
+     * A daemon that is asked whether it would be a better home; the present one is kept until then.
      */
     private Optional<OutgoingPeerLink> candidate = Optional.empty();
 
@@ -113,8 +112,8 @@
         home.ifPresent(dial -> dial.send(record));
     }
 
-    /** Asks the home for its whole state. */
-    public void requestWholeState() {
+    /** Asks the home for its complete state. */
+    public void requestCompleteState() {
         send(new RecordWriter(RecordType.RESYNC_REQUEST).bytes());
     }
 
@@ -154,8 +153,8 @@
     }
 
     /**
-     * The candidate said how old its knowledge is: it becomes the home when that is fresh, and is
-     * passed over otherwise.
+     * The candidate reported how old its knowledge is: it becomes the home when that is fresh, and
+     * is passed over otherwise.
      *
      * @return whether it is the home now
      */
@@ -168,12 +167,12 @@
         return true;
     }
 
-    /** The home said which core daemons there are; fresh knowledge replaces what was known. */
+    /** The home reported which core daemons there are; fresh knowledge replaces what was known. */
     public void onCores(Collection<String> known, long staleUs) {
         candidates.onCores(known, isFresh(staleUs));
     }
 
-    /** The home said how old its knowledge is; a better one is sought when it stays stale. */
+    /** The home reported how old its knowledge is; a better one is sought when it stays stale. */
     public void onAge(long staleUs, long now) {
         if (isFresh(staleUs)) {
             homeFreshUs = now;
@@ -245,8 +244,8 @@
     }
 
     /**
-     * The candidate is in contact with a majority: it is the home from now on, and its whole state
-     * is asked for.
+     * The candidate is in contact with a majority: it is the home from now on, and its complete
+     * state is asked for.
      */
     private void takeCandidate() {
         RingLog.debug("home " + homeIp + " is left for " + candidateIp);
@@ -258,6 +257,6 @@
         homeFreshUs = homePickedUs;
         candidate = Optional.empty();
         old.ifPresent(OutgoingPeerLink::stop);
-        requestWholeState();
+        requestCompleteState();
     }
 }
--- a/edge/src/main/java/martenloom/edge/jobs/JobListing.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobListing.java
@@ -4,7 +4,7 @@
 import martenloom.common.jobs.JobUrgency;
 
 /**
- * What the home says of one job of the region that is not over.
+ * What the home lists of one job of the region that is not over.
  *
  * @param id the job
  * @param running whether the core has it as running, else it waits
--- a/edge/src/main/java/martenloom/edge/jobs/JobRun.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRun.java
@@ -14,7 +14,7 @@
 import martenloom.edge.http.HttpStatus;
 
 /**
- * One run of a job: takes the answer to its request, saves the output of a resumable job at the
+ * One run of a job: takes the response to its request, saves the output of a resumable job at the
  * core as it comes, and reports the end until the core has replied or the lease is lost. Reports
  * are made one at a time, and repeated until their outcome is known; the run that they name makes
  * that harmless. Runs on the reactor thread.
@@ -98,7 +98,7 @@
         over = true;
     }
 
-    // ---- the answer
+    // ---- the response
 
     @Override
     public void respond(byte[] headBytes, byte[] body) {
@@ -178,7 +178,7 @@
                             && attempts < MAX_SAVE_ATTEMPTS) {
                         scheduler.after(REPEAT_US, () -> save(lastEventId, unsaved, attempts + 1));
                     } else {
-                        owner.abandon(this, "the core said " + reply.text());
+                        owner.abandon(this, "the core replied: " + reply.text());
                     }
                 });
     }
--- a/edge/src/main/java/martenloom/edge/overload/OverloadReceiver.java
+++ b/edge/src/main/java/martenloom/edge/overload/OverloadReceiver.java
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /** Whether the next new prompt is to be kept away from a region and model. */
+    /** Whether the next new prompt is to be withheld from a region and model. */
     public boolean selectNext(String key, long now) {
         return state(key).selectNext(now);
     }
--- a/edge/src/main/java/martenloom/edge/overload/OverloadReport.java
+++ b/edge/src/main/java/martenloom/edge/overload/OverloadReport.java
@@ -5,7 +5,7 @@
 
 /**
  * An overload report as it travels between daemons, after the loss algorithm of RFC 7683: the share
- * of new prompts that the edges elsewhere shall keep away from a region's replicas of a model.
+ * of new prompts that the edges elsewhere shall withhold from a region's replicas of a model.
  *
  * @param region the overloaded region
  * @param model the model whose replicas are overloaded
--- a/edge/src/main/java/martenloom/edge/overload/OverloadReporter.java
+++ b/edge/src/main/java/martenloom/edge/overload/OverloadReporter.java
@@ -14,7 +14,7 @@
     private static final double OVERLOADED_ABOVE = 0.75;
     private static final double RELIEVED_BELOW = 0.45;
 
-    /** The pressure at which all new prompts are to be kept away. */
+    /** The pressure at which all new prompts are to be withheld. */
     private static final double FULL_REDUCTION_AT = 1.2;
 
     private static final double SMOOTHING = 0.35;
--- a/edge/src/main/java/martenloom/edge/overload/ReductionState.java
+++ b/edge/src/main/java/martenloom/edge/overload/ReductionState.java
@@ -7,7 +7,7 @@
  *
  * <p>{@code NONE -> ACTIVE} by a report; {@code ACTIVE -> RETURNING} by a report that ends the
  * condition or by expiry, {@code RETURNING -> NONE} after the last step, and {@code RETURNING ->
- * ACTIVE} by another report. While returning, the share that is kept away falls in equal steps. No
+ * ACTIVE} by another report. While returning, the share that is withheld falls in equal steps. No
  * input or output, no clock. Runs on the reactor thread.
  */
 public final class ReductionState {
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Whether the next new prompt is among the share to be kept away; shares are met exactly over a
+     * Whether the next new prompt is among the share to be withheld; shares are met exactly over a
      * run of prompts.
      */
     boolean selectNext(long now) {
@@ -105,17 +105,17 @@
         stale++;
     }
 
-    /** A prompt that was kept away was sent to another region. */
+    /** A prompt that was withheld was sent to another region. */
     public void countSpilled() {
         spilled++;
     }
 
-    /** A prompt that was kept away waits for a replica. */
+    /** A prompt that was withheld waits for a replica. */
     public void countQueued() {
         queued++;
     }
 
-    /** A prompt that was kept away was rejected. */
+    /** A prompt that was withheld was rejected. */
     public void countRejected() {
         rejected++;
     }
@@ -134,7 +134,7 @@
         return validUntilUs;
     }
 
-    /** The share of new prompts that is kept away, 0 to 1. */
+    /** The share of new prompts that is withheld, 0 to 1. */
     public double share() {
         return share;
     }
@@ -144,7 +144,7 @@
         return considered;
     }
 
-    /** New prompts that were kept away. */
+    /** New prompts that were withheld. */
     public long selected() {
         return selected;
     }
--- a/edge/src/main/java/martenloom/edge/replica/LatencyEstimate.java
+++ b/edge/src/main/java/martenloom/edge/replica/LatencyEstimate.java
@@ -44,7 +44,7 @@
         roundTripUs += (tookUs - roundTripUs) * ROUND_TRIP_WEIGHT;
     }
 
-    /** Takes the time from sending a plain request to its whole answer. */
+    /** Takes the time from sending a plain request to its complete response. */
     public void onAnswered(long tookUs) {
         serviceTimeUs +=
                 (Math.max(MIN_SERVICE_TIME_US, tookUs - roundTripUs) - serviceTimeUs)
--- a/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
+++ b/edge/src/main/java/martenloom/edge/replica/LatencyPredictor.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The predicted time from now to the first token of a request (or to the whole answer, for a
-     * plain service), in microseconds.
+     * The predicted time from now to the first token of a request (or to the complete response, for
+     * a plain service), in microseconds.
      *
      * @param assumeShared whether the replica is taken to have the shared segments of the prompt
      */
--- a/edge/src/main/java/martenloom/edge/replica/Reachability.java
+++ b/edge/src/main/java/martenloom/edge/replica/Reachability.java
@@ -1,7 +1,7 @@
 package martenloom.edge.replica;
 
 /**
- * Whether one replica answers this edge. A replica that can't be reached or has been silent for
+ * Whether one replica responds to this edge. A replica that can't be reached or has been silent for
  * longer than its load explains is suspected: it gets nothing for a while, and after that one
  * attempt at a time (it is being probed) until it is heard again. Before it is suspected, the edges
  * of the zone are asked for what they hear, by way of the load reports: this edge is suspecting.
--- a/edge/src/main/java/martenloom/edge/replica/RoutingView.java
+++ b/edge/src/main/java/martenloom/edge/replica/RoutingView.java
@@ -11,7 +11,7 @@
     /** The routes and services; empty, with revision 0, before the first configuration. */
     RouteTable table();
 
-    /** The zones from which requests are kept away. */
+    /** The zones that are evacuated: requests are withheld from them. */
     Set<String> evacuatedZones();
 
     /** Whether a replica is an engine that serves a model. */
--- a/edge/src/main/java/martenloom/edge/scaling/ScalingOrders.java
+++ b/edge/src/main/java/martenloom/edge/scaling/ScalingOrders.java
@@ -7,8 +7,8 @@
 import martenloom.edge.home.CoreRequests;
 
 /**
- * Sends the scaler's orders to the core, where they are kept. Replicas are not told: an unloaded
- * one gets no new prompts from any edge and drains. Runs on the reactor thread.
+ * Sends the scaler's orders to the core, where they are kept. Replicas are not notified: an
+ * unloaded one gets no new prompts from any edge and drains. Runs on the reactor thread.
  */
 public final class ScalingOrders {
     private final CoreRequests core;
--- a/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
+++ b/edge/src/main/java/martenloom/edge/subscription/ConfigurationReceiver.java
@@ -14,9 +14,9 @@
 import martenloom.routing.language.RoutingLanguage;
 
 /**
- * The configuration in force at this edge. An edition is everything that the core's state says of
- * configuration, evacuations and placements; a revision is one of the routing text. Neither ever
- * goes back. Runs on the reactor thread, but for {@link #revision}.
+ * The configuration in force at this edge. An edition is the core's state of configuration,
+ * evacuations and placements; a revision is one of the routing text. Neither ever goes back. Runs
+ * on the reactor thread, but for {@link #revision}.
  */
 public final class ConfigurationReceiver {
     private final HomeConnection home;
@@ -60,7 +60,7 @@
         }
         if (newRevision > revision) {
             if (routingText.isEmpty()) {
-                home.requestWholeState();
+                home.requestCompleteState();
                 return;
             }
             dispatcher.onTable(RoutingLanguage.compile(routingText));
--- a/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
+++ b/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
@@ -18,7 +18,7 @@
 /**
  * The subscription of this edge at its home: takes the home's responses to renewals and the
  * replicas, and makes the edge ready once it knows what it needs. When the replicas known here and
- * at the home differ for several responses, the whole state is asked for. Runs on the reactor
+ * at the home differ for several responses, the complete state is requested. Runs on the reactor
  * thread.
  */
 public final class EdgeSubscription {
@@ -114,7 +114,7 @@
         mismatches = same ? 0 : mismatches + 1;
         if (mismatches > MAX_MISMATCHES) {
             mismatches = 0;
-            home.requestWholeState();
+            home.requestCompleteState();
         }
     }
 
--- a/edge/src/main/java/martenloom/edge/subscription/RenewalWriter.java
+++ b/edge/src/main/java/martenloom/edge/subscription/RenewalWriter.java
@@ -13,9 +13,9 @@
 import martenloom.edge.replica.RoutingView;
 
 /**
- * Writes the records by which this edge subscribes at a home and renews its subscription: what the
- * directory says of it, the roles that it requests, and the replicas for which it needs permits
- * while they warm up. Runs on the reactor thread.
+ * Writes the records by which this edge subscribes at a home and renews its subscription: its entry
+ * in the directory, the roles that it requests, and the replicas for which it needs permits while
+ * they warm up. Runs on the reactor thread.
  */
 public final class RenewalWriter {
     private final Settings settings;
