--- a/core/src/main/java/martenloom/core/admin/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -103,12 +103,12 @@
     private String chainState(long now) {
         return String.format(
                 "mode %s view %d.%s head %s chain %s stale %d ms\nroster %s\n",
-                chain.mode(),
-                chain.view().n(),
-                chain.view().who(),
+                chain.role(),
+                chain.view().number(),
+                chain.view().member(),
                 chain.head(),
                 chain.chain(),
-                chain.staleUs(now) / 1000,
+                chain.stalenessUs(now) / 1000,
                 chain.committed().roster().members());
     }
 
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -10,6 +10,7 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.MemberRole;
 import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.state.Command.MarkDeparting;
 import martenloom.core.state.Command.Urgency;
@@ -77,7 +78,7 @@
                 () -> {
                     RingLog.debug("leaving");
                     begun = true;
-                    chain.onLeave(Clocks.nowUs());
+                    chain.startLeaving(Clocks.nowUs());
                     step(done);
                 });
         try {
@@ -108,8 +109,8 @@
      * Not before the chain can do without this member; then when no caller waits, or soon after.
      */
     private boolean mayEnd(long now) {
-        var learning = chain.mode() == ChainMember.Mode.LEARNING;
-        if (releasedUs == 0 && (taken || learning) && chain.released(now)) {
+        var learning = chain.role() == MemberRole.LEARNER;
+        if (releasedUs == 0 && (taken || learning) && chain.mayTerminate(now)) {
             releasedUs = now;
         }
         return releasedUs > 0 && (!owesAnswers.getAsBoolean() || now - releasedUs > ANSWERS_US);
