--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
+import martenloom.common.fleet.Staleness;
 import martenloom.core.state.ClusterState;
 import martenloom.core.state.Command.MarkDeparting;
 import martenloom.core.state.Command.Urgency;
@@ -45,7 +46,7 @@
      * A member that has had no proof of a majority for longer than this neither hands out what it
      * knows as current nor forwards requests. See docs/design.md for the derivation.
      */
-    public static final long MAX_STALENESS_US = 1_500_000;
+    public static final long MAX_STALENESS_US = Staleness.MAX_STALENESS_US;
 
     private static final long HEARTBEAT_INTERVAL_US = 200_000;
     private static final long STALLED_HEAD_RESTS_US = 2_000_000;
--- a/edge/src/main/java/martenloom/edge/home/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeConnection.java
@@ -8,6 +8,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
+import martenloom.common.fleet.Staleness;
 import martenloom.common.link.OutgoingPeerLink;
 import martenloom.common.link.PeerLink;
 import martenloom.common.link.PeerLinkHandler;
@@ -23,9 +24,6 @@
  * unless there is no other. Runs on the reactor thread.
  */
 public final class HomeConnection {
-    /** The age from which a daemon's knowledge of the core counts as stale. */
-    private static final long MAX_STALENESS_US = 1_500_000;
-
     private static final long UNRESPONSIVE_US = 1_400_000;
     private static final long REDIAL_US = 150_000;
 
@@ -79,7 +77,7 @@
 
     /** Whether knowledge of this age still counts. */
     public static boolean isFresh(long staleUs) {
-        return staleUs < MAX_STALENESS_US;
+        return staleUs < Staleness.MAX_STALENESS_US;
     }
 
     /** Picks the first home. */
