--- a/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
+++ b/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
@@ -43,7 +43,7 @@
      * the edge is told our age with every renewal, and goes elsewhere.
      */
     public void sendWhole(String edgeIp, PeerLinks.Link link) {
-        if (!chain.fresh(Clocks.nowUs())) {
+        if (!chain.isFresh(Clocks.nowUs())) {
             return;
         }
         var state = chain.committed();
--- a/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
@@ -11,6 +11,7 @@
 import martenloom.common.link.PeerLinks;
 import martenloom.common.link.PendingRequests;
 import martenloom.common.settings.Settings;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.peer.CorePeerLinks;
 import martenloom.core.peer.PeerRequests;
@@ -59,13 +60,13 @@
     public void submitLocally(StampedCommand order, BiConsumer<ResultCode, String> reply) {
         var id = ++lastLocal;
         localRequests.put(id, reply);
-        chain.onAsk(Clocks.nowUs(), id, order);
+        chain.submit(Clocks.nowUs(), id, order);
         loop.post(carryOut);
     }
 
     /** Hands an order to the head, wherever it is. */
     public void submit(StampedCommand order, BiConsumer<ResultCode, String> reply) {
-        if (chain.heading()) {
+        if (chain.isHead()) {
             submitLocally(order, reply);
             return;
         }
@@ -110,14 +111,14 @@
     }
 
     /** The chain's answer to an order that was put to it here. */
-    public void onDecided(ChainMember.Answer answer) {
+    public void onDecided(ChainEffect.CompleteRequest answer) {
         Optional.ofNullable(localRequests.remove(answer.request()))
                 .ifPresent(reply -> reply.accept(answer.code(), answer.text()));
     }
 
     /** Whether this daemon knew of a majority that held together a moment ago. */
     public boolean inTouch() {
-        return chain.fresh(Clocks.nowUs());
+        return chain.isFresh(Clocks.nowUs());
     }
 
     /** Whether callers here still wait for an answer. */
--- a/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
+++ b/simulation/src/main/java/martenloom/simulation/LeaseForwarder.java
@@ -42,7 +42,7 @@
             }
             passedOnUs.put(key, process.nowUs());
         }
-        if (process.chain().heading()) {
+        if (process.chain().isHead()) {
             duties.request(key, holder, stampUs, record -> grant(new RecordReader(record, true)));
             return;
         }
