--- a/core/src/main/java/martenloom/core/state/JobClientRules.java
+++ b/core/src/main/java/martenloom/core/state/JobClientRules.java
@@ -2,6 +2,8 @@
 
 import java.nio.charset.StandardCharsets;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobJson;
+import martenloom.common.jobs.JobState;
 import martenloom.core.state.Command.CancelJob;
 import martenloom.core.state.Command.ConfirmJobResult;
 import martenloom.core.state.Command.GetJob;
@@ -22,13 +24,13 @@
 
     /** Adds a job, whose due time is relative; the same job again is acknowledged again. */
     CommandResult<JobTable> submit(Job job) {
-        var known = table.find(job.id);
+        var known = table.find(job.id());
         if (known.isPresent()) {
-            return known.get().digest.equals(job.digest)
-                    ? CommandResult.unchanged(known.get().json(table.clockAt(atUs)))
-                    : CommandResult.conflict("job '" + job.id + "' is known with other content");
+            return known.get().digest().equals(job.digest())
+                    ? CommandResult.unchanged(JobJson.render(known.get(), table.clockAt(atUs)))
+                    : CommandResult.conflict("job '" + job.id() + "' is known with other content");
         }
-        var bytes = job.bytes();
+        var bytes = job.sizeBytes();
         if (bytes > JobTable.MAX_JOB_BYTES) {
             return CommandResult.refused(
                     ResultCode.TOO_LARGE,
@@ -54,15 +56,15 @@
                             + JobTable.MAX_TABLE_BYTES);
         }
         var nowUs = table.clockAt(atUs);
-        job.submittedUs = nowUs;
-        job.dueUs = nowUs + job.dueUs;
-        return table.with(job, atUs, job.json(nowUs));
+        job.setSubmittedUs(nowUs);
+        job.setDeadlineUs(nowUs + job.deadlineUs());
+        return table.with(job, atUs, JobJson.render(job, nowUs));
     }
 
     /** Carries out a command about a job that is known. */
     CommandResult<JobTable> decide(OneJobCommand command, Job job) {
         if (command instanceof GetJob) {
-            return CommandResult.unchanged(job.json(table.clockAt(atUs)));
+            return CommandResult.unchanged(JobJson.render(job, table.clockAt(atUs)));
         }
         if (command instanceof ConfirmJobResult) {
             return confirm(job);
@@ -71,41 +73,41 @@
     }
 
     private CommandResult<JobTable> result(Job job) {
-        if (job.state != Job.State.DONE) {
+        if (job.state() != JobState.DONE) {
             return CommandResult.conflict(
-                    JobReports.standing(job) + (job.why.isEmpty() ? "" : ": " + job.why));
+                    JobReports.standing(job) + (job.reason().isEmpty() ? "" : ": " + job.reason()));
         }
-        return job.confirmed
+        return job.confirmed()
                 ? CommandResult.refused(
                         ResultCode.RELEASED,
-                        "the result of job '" + job.id + "' was confirmed and let go")
-                : CommandResult.unchanged(new String(job.result, StandardCharsets.UTF_8));
+                        "the result of job '" + job.id() + "' was confirmed and let go")
+                : CommandResult.unchanged(new String(job.result(), StandardCharsets.UTF_8));
     }
 
     private CommandResult<JobTable> confirm(Job job) {
-        if (job.state != Job.State.DONE) {
+        if (job.state() != JobState.DONE) {
             return CommandResult.conflict(JobReports.standing(job));
         }
-        if (job.confirmed) {
+        if (job.confirmed()) {
             return CommandResult.unchanged("");
         }
         var copy = job.copy();
-        copy.confirmed = true;
-        copy.result = new byte[0];
-        copy.body = new byte[0];
+        copy.setConfirmed(true);
+        copy.setResult(new byte[0]);
+        copy.setBody(new byte[0]);
         return table.with(copy, atUs, "");
     }
 
     /** Cancels a job that waits, or one that runs and may be repeated. */
     private CommandResult<JobTable> cancel(Job job) {
-        if (job.state == Job.State.CANCELLED) {
+        if (job.state() == JobState.CANCELLED) {
             return CommandResult.unchanged("");
         }
-        var live = job.state.live();
-        if (!live || job.state == Job.State.RUNNING && !job.repeatable) {
+        var live = job.state().isLive();
+        if (!live || job.state() == JobState.RUNNING && !job.retriable()) {
             return CommandResult.conflict(
                     JobReports.standing(job) + (live ? " and may not be taken back" : ""));
         }
-        return table.with(table.ended(job, Job.State.CANCELLED, "cancelled", atUs), atUs, "");
+        return table.with(table.ended(job, JobState.CANCELLED, "cancelled", atUs), atUs, "");
     }
 }
--- a/core/src/main/java/martenloom/core/storage/FileSystemFolder.java
+++ b/core/src/main/java/martenloom/core/storage/FileSystemFolder.java
@@ -37,7 +37,7 @@
         try {
             sync(parent);
         } catch (IOException e) {
-            RingLog.note("store: " + parent + " is not synced: " + e.getMessage());
+            RingLog.debug("store: " + parent + " is not synced: " + e.getMessage());
         }
     }
 
--- a/core/src/main/java/martenloom/core/storage/StorageThread.java
+++ b/core/src/main/java/martenloom/core/storage/StorageThread.java
@@ -43,7 +43,7 @@
             task.run();
             return true;
         } catch (StorageException e) {
-            RingLog.wrong("store: " + e.getMessage());
+            RingLog.error("store: " + e.getMessage());
             return false;
         }
     }
@@ -63,7 +63,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            RingLog.note("store: the last version is not written: " + e.getClass().getSimpleName());
+            RingLog.debug(
+                    "store: the last version is not written: " + e.getClass().getSimpleName());
         }
     }
 }
--- a/core/src/main/java/martenloom/core/storage/VersionedStore.java
+++ b/core/src/main/java/martenloom/core/storage/VersionedStore.java
@@ -57,7 +57,7 @@
                         : Optional.<FileFrame>empty();
         damaged = newest > 0 && found.isEmpty() || newestStaging > Math.max(0, newest) + 1;
         if (damaged) {
-            RingLog.wrong(
+            RingLog.error(
                     "store: version "
                             + newest
                             + " is incomplete or one after it is missing, the disk counts as lost");
@@ -111,7 +111,7 @@
                     .filter(name -> isOtherVersion(name, kept))
                     .forEach(folder::remove);
         } catch (StorageException e) {
-            RingLog.note("store: an old version is not removed: " + e.getMessage());
+            RingLog.debug("store: an old version is not removed: " + e.getMessage());
         }
     }
 
@@ -160,7 +160,7 @@
                     try {
                         replaceDurably(name, checkpoint);
                     } catch (StorageException e) {
-                        RingLog.note(
+                        RingLog.debug(
                                 "store: checkpoint " + name + " is not written: " + e.getMessage());
                     }
                 });
--- a/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/Attempt.java
@@ -216,7 +216,7 @@
     private Optional<ReplicaConnection> takeIdleConnection() {
         var idleTrustUs = replica.connections().idleTrustUs();
         var maxIdleUs =
-                request.route().repeatable()
+                request.route().retriable()
                         ? idleTrustUs
                         : Math.min(MAX_IDLE_IF_NOT_IDEMPOTENT_US, idleTrustUs);
         return replica.connections().takeIdle(request.id(), maxIdleUs, startedUs);
--- a/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/AttemptHandler.java
@@ -147,7 +147,7 @@
         attempt.removeFromLoad();
         var request = attempt.request();
         var now = Clocks.nowUs();
-        RingLog.note(
+        RingLog.debug(
                 "attempt of "
                         + request.id()
                         + " at "
--- a/edge/src/main/java/martenloom/edge/dispatch/CostPredictor.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/CostPredictor.java
@@ -2,7 +2,7 @@
 
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.route.ServiceSpec;
 
 /**
  * Predicts what a request costs at a replica, in microseconds until its first token or its whole
@@ -22,7 +22,7 @@
     /** The predicted time from now, without preferences. */
     double timeUs(
             ReplicaEndpoint replica,
-            RouteTable.Service service,
+            ServiceSpec service,
             Request request,
             boolean assumeSharedCached,
             long nowUs) {
@@ -43,7 +43,7 @@
      */
     double costUs(
             ReplicaEndpoint replica,
-            RouteTable.Service service,
+            ServiceSpec service,
             Request request,
             boolean ownsPrefix,
             long nowUs) {
--- a/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
@@ -42,7 +42,7 @@
         if (request.streaming()) {
             return Decision.ABORT_STREAM;
         }
-        var repeatable = request.route().repeatable();
+        var repeatable = request.route().retriable();
         if (HttpStatus.isServerError(status) && repeatable && !attemptsExhausted(request)) {
             return Decision.RETRY;
         }
@@ -64,10 +64,10 @@
         if (failure == Attempt.Failure.UNSENT) {
             return isExpired(request, nowUs) ? Decision.EXPIRE : Decision.RETRY_UNSENT;
         }
-        if (failure == Attempt.Failure.TRUNCATED && !request.route().resumable) {
+        if (failure == Attempt.Failure.TRUNCATED && !request.route().resumable()) {
             return Decision.ABORT_STREAM;
         }
-        if (failure != Attempt.Failure.REJECTED && !request.route().repeatable()) {
+        if (failure != Attempt.Failure.REJECTED && !request.route().retriable()) {
             return Decision.FAIL_MAY_HAVE_RUN;
         }
         if (attemptsExhausted(request)) {
@@ -82,7 +82,7 @@
     }
 
     private static boolean attemptsExhausted(Request request) {
-        return request.attemptsMade() >= request.route().tries;
+        return request.attemptsMade() >= request.route().maxAttempts();
     }
 
     /**
@@ -91,10 +91,10 @@
     static boolean mayMove(Attempt attempt, long nowUs) {
         var request = attempt.request();
         return !request.done()
-                && request.route().repeatable()
+                && request.route().retriable()
                 && !attempt.connecting()
                 && !attempt.over()
-                && request.attemptsMade() + 1 < request.route().tries
+                && request.attemptsMade() + 1 < request.route().maxAttempts()
                 && nowUs - attempt.sentUs() >= LEAST_AGE_TO_MOVE_US;
     }
 
@@ -110,6 +110,6 @@
 
     /** Whether a request that cannot be sent now may wait for another attempt. */
     static boolean mayWaitForRetry(Request request) {
-        return request.attemptsMade() == 0 || !request.mayHaveRun() || request.route().repeatable();
+        return request.attemptsMade() == 0 || !request.mayHaveRun() || request.route().retriable();
     }
 }
--- a/edge/src/main/java/martenloom/edge/lifecycle/GracefulShutdown.java
+++ b/edge/src/main/java/martenloom/edge/lifecycle/GracefulShutdown.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import martenloom.common.clock.Clocks;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.OperatingBounds;
 import martenloom.edge.dispatch.ClientConnection;
 import martenloom.edge.dispatch.RequestDispatcher;
 
@@ -66,12 +66,12 @@
     public GracefulShutdown(
             Eventloop loop,
             RequestDispatcher dispatcher,
-            Settings.Bounds bounds,
+            OperatingBounds bounds,
             Runnable stopListening) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.stopListening = stopListening;
-        var graceUs = (long) (bounds.graceS * US_PER_SECOND);
+        var graceUs = (long) (bounds.gracePeriodS() * US_PER_SECOND);
         limitRequestsUs = Math.min(CUT_FORGIVEN_US, graceUs / 2);
         closeConnectionsUs =
                 Math.max(0, limitRequestsUs - ClientConnection.MAX_IDLE_IN_SHUTDOWN_US);
@@ -80,7 +80,7 @@
                 Math.max(
                         limitRequestsUs,
                         Math.min(
-                                (long) (bounds.ttlMaxS * US_PER_SECOND),
+                                (long) (bounds.maxTtlS() * US_PER_SECOND),
                                 endAllUs - DRAIN_BEFORE_END_US));
         exitUs = Math.max(0, graceUs - EXIT_BEFORE_KILL_US);
     }
--- a/edge/src/main/java/martenloom/edge/overload/PressureEstimator.java
+++ b/edge/src/main/java/martenloom/edge/overload/PressureEstimator.java
@@ -27,7 +27,8 @@
         var known = 0;
         var available = 0;
         for (var replica : replicaTable.all()) {
-            if (!replica.region().equals(settings.region) || !routing.servesModel(replica, model)) {
+            if (!replica.region().equals(settings.region())
+                    || !routing.servesModel(replica, model)) {
                 continue;
             }
             known++;
@@ -49,14 +50,16 @@
     private long targetUs(String model) {
         var targetUs = Long.MAX_VALUE;
         var table = routing.table();
-        for (var route : table.routes) {
+        for (var route : table.routes()) {
             var service =
-                    route.shares.isEmpty() ? null : table.services.get(route.shares.get(0).service);
+                    route.trafficSplit().isEmpty()
+                            ? null
+                            : table.services().get(route.trafficSplit().get(0).service());
             if (service != null
-                    && service.engine
-                    && service.model.equals(model)
-                    && route.aimUs > 0) {
-                targetUs = Math.min(targetUs, route.aimUs);
+                    && service.inferenceEngine()
+                    && service.model().equals(model)
+                    && route.latencyTargetUs() > 0) {
+                targetUs = Math.min(targetUs, route.latencyTargetUs());
             }
         }
         return targetUs;
--- a/edge/src/main/java/martenloom/edge/scaling/ModelScaler.java
+++ b/edge/src/main/java/martenloom/edge/scaling/ModelScaler.java
@@ -2,8 +2,9 @@
 
 import java.util.List;
 import java.util.Locale;
-import martenloom.autoscaler.ScaleMachine;
-import martenloom.autoscaler.ScaleSettings;
+import martenloom.autoscaler.ReplicaCountController;
+import martenloom.autoscaler.ReplicaCounts;
+import martenloom.autoscaler.ScalingSettings;
 import martenloom.common.clock.Clocks;
 import martenloom.edge.home.CoreReply;
 import martenloom.edge.replica.ReplicaEndpoint;
@@ -17,24 +18,24 @@
     /** How long the effect of an order takes to be seen here at most. */
     private static final long SETTLE_US = 3_000_000;
 
-    private final ScaleMachine machine;
+    private final ReplicaCountController machine;
     private boolean orderPending;
     private long settlingUntilUs;
     private int inFlight;
     private String lastReply = "";
 
-    ModelScaler(ScaleSettings settings, int desired, long now) {
-        machine = new ScaleMachine(settings, desired, now);
+    ModelScaler(ScalingSettings settings, int desired, long now) {
+        machine = new ReplicaCountController(settings, desired, now);
     }
 
     /** Takes the settings in force. */
-    void adopt(ScaleSettings settings) {
-        machine.adopt(settings);
+    void adopt(ScalingSettings settings) {
+        machine.updateSettings(settings);
     }
 
     /** As long as no count was ever ordered, all that are registered are desired. */
     void follow(int registered) {
-        machine.follow(registered);
+        machine.trackRegistered(registered);
     }
 
     /** How many replicas shall serve. */
@@ -62,7 +63,7 @@
         inFlight = requestsInFlight;
         if (machine.sample(inFlight, reliable, now)) {
             machine.decide(
-                    new ScaleMachine.Fleet(
+                    new ReplicaCounts(
                             registered.size(), serving(registered), maxCapacity(registered)),
                     now);
         }
@@ -96,7 +97,7 @@
         settlingUntilUs = reply.isAccepted() ? Clocks.nowUs() + SETTLE_US : 0;
         lastReply = reply.status() + (reply.text().isEmpty() ? "" : " " + reply.text());
         if (reply.isConflict()) {
-            machine.refused(inForce, reply.text(), orderedAtUs);
+            machine.rejected(inForce, reply.text(), orderedAtUs);
         }
     }
 
@@ -115,7 +116,7 @@
                 serving(registered),
                 registered.size(),
                 machine.phase(),
-                machine.why(),
+                machine.reason(),
                 machine.delayLeftUs(now) / 1000,
                 fencingToken,
                 lastReply.isEmpty() ? "none" : lastReply);
--- a/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
+++ b/launcher/src/main/java/martenloom/launcher/ClassArchiveRun.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import martenloom.common.clock.Clocks;
 import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
 import martenloom.core.storage.FileSystemFolder;
 import martenloom.edge.EdgeDaemon;
@@ -79,7 +80,7 @@
     }
 
     private static Settings settings(String ip, int port, String dir, String listen) {
-        return Settings.parse(
+        return SettingsFile.parse(
                 "NodeName = \"n\"\nIpAddress = \""
                         + ip
                         + "\"\nZone = \"z\"\nRegion = \"r\"\nInternalPortRange = ["
@@ -120,7 +121,9 @@
         var a =
                 loop(
                         "core",
-                        l -> new CoreDaemon(core, l, new FileSystemFolder(core.dataDir)).start());
+                        l ->
+                                new CoreDaemon(core, l, new FileSystemFolder(core.dataDirectory()))
+                                        .start());
         var n = new CompletableFuture<EdgeDaemon>();
         var b =
                 loop(
--- a/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
@@ -18,7 +18,9 @@
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.fleet.RecordType;
 import martenloom.common.jobs.Job;
-import martenloom.common.settings.Settings;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobState;
+import martenloom.common.settings.SettingsFile;
 import martenloom.edge.EdgeDaemon;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -82,7 +84,7 @@
         loop.execute(
                 () -> {
                     try {
-                        new EdgeDaemon(Settings.parse(settingsText(port)), loop).start();
+                        new EdgeDaemon(SettingsFile.parse(settingsText(port)), loop).start();
                         started.complete(true);
                     } catch (IOException e) {
                         started.completeExceptionally(e);
@@ -158,16 +160,16 @@
     /** A job whose route has no replica, so that its run is soon given back. */
     private static String startedJob() {
         var job = new Job();
-        job.id = "job-1";
-        job.region = "north";
-        job.host = "cluster.example";
-        job.path = "/safe/x";
-        job.body = "b".getBytes(StandardCharsets.UTF_8);
-        job.state = Job.State.RUNNING;
-        job.fence = 7;
-        job.runs = 1;
+        job.setId("job-1");
+        job.setRegion("north");
+        job.setHost("cluster.example");
+        job.setPath("/safe/x");
+        job.setBody("b".getBytes(StandardCharsets.UTF_8));
+        job.setState(JobState.RUNNING);
+        job.setFencingToken(7);
+        job.setAttempts(1);
         var out = new RecordWriter();
-        job.write(out);
+        JobCodec.write(job, out);
         return Base64.getEncoder().encodeToString(out.bytes());
     }
 
@@ -176,7 +178,7 @@
         static Renewal read(byte[] record) {
             var in = new RecordReader(record, true);
             var edge = EdgeRecord.read(in, 0);
-            return new Renewal(edge.ready, in.i64(), in.text(), in.texts());
+            return new Renewal(edge.ready(), in.i64(), in.text(), in.texts());
         }
     }
 
