--- a/edge/src/main/java/martenloom/edge/jobs/JobRun.java
+++ b/edge/src/main/java/martenloom/edge/jobs/JobRun.java
@@ -14,7 +14,7 @@
 import martenloom.edge.http.HttpStatus;
 
 /**
- * One run of a job: takes the answer to its request, saves the output of a resumable job at the
+ * One run of a job: takes the response to its request, saves the output of a resumable job at the
  * core as it comes, and reports the end until the core has replied or the lease is lost. Reports
  * are made one at a time, and repeated until their outcome is known; the run that they name makes
  * that harmless. Runs on the reactor thread.
@@ -50,7 +50,7 @@
 
     private final Job job;
     private final JobLease lease;
-    private final long fencingToken;
+    private final RunId id;
     private final JobReports reports;
     private final Scheduler scheduler;
     private final Owner owner;
@@ -72,22 +72,12 @@
         this.reports = reports;
         this.scheduler = scheduler;
         this.owner = owner;
-        fencingToken = lease.fencingToken();
+        id = new RunId(job.id(), lease.fencingToken(), job.attempts());
         savedBytes = job.checkpoint().length;
     }
 
-    String jobId() {
-        return job.id();
-    }
-
-    /** The fencing token under which the run began. */
-    long fencingToken() {
-        return fencingToken;
-    }
-
-    /** The number of the run among those of its job. */
-    int number() {
-        return job.attempts();
+    RunId id() {
+        return id;
     }
 
     /** The request that was started for the run, if one could be. */
@@ -108,7 +98,7 @@
         over = true;
     }
 
-    // ---- the answer
+    // ---- the response
 
     @Override
     public void respond(byte[] headBytes, byte[] body) {
@@ -175,7 +165,7 @@
     /** The same report again until its outcome is known; its offset makes that harmless. */
     private void save(String lastEventId, byte[] unsaved, int attempts) {
         reports.append(
-                this,
+                id,
                 lastEventId,
                 savedBytes,
                 unsaved,
@@ -188,7 +178,7 @@
                             && attempts < MAX_SAVE_ATTEMPTS) {
                         scheduler.after(REPEAT_US, () -> save(lastEventId, unsaved, attempts + 1));
                     } else {
-                        owner.abandon(this, "the core said " + reply.text());
+                        owner.abandon(this, "the core replied: " + reply.text());
                     }
                 });
     }
@@ -198,18 +188,18 @@
     private void reportResult(int status) {
         reportEnd(
                 "result",
-                onReply -> reports.finish(this, status, savedBytes, output.toByteArray(), onReply),
+                onReply -> reports.finish(id, status, savedBytes, output.toByteArray(), onReply),
                 0);
     }
 
     void reportFailure(RunFailure failure, String reason) {
-        reportEnd(failure.name(), onReply -> reports.giveBack(this, failure, reason, onReply), 0);
+        reportEnd(failure.name(), onReply -> reports.giveBack(id, failure, reason, onReply), 0);
     }
 
     /** Reports the end until the core has a reply or the lease is lost. */
     private void reportEnd(String kind, EndReport report, int attempts) {
         over = true;
-        if (!lease.isHeldWith(fencingToken)) {
+        if (!lease.isHeldWith(id.fencingToken())) {
             owner.onEnded(this);
             return;
         }
