--- a/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/CandidateFilter.java
@@ -1,5 +1,6 @@
 package martenloom.edge.dispatch;
 
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.settings.Settings;
 import martenloom.edge.replica.ReplicaEndpoint;
 import martenloom.edge.replica.ReplicaTable;
@@ -72,7 +73,7 @@
     private boolean stays(ReplicaEndpoint replica) {
         return !replica.isDeregistered()
                 && replica.isAvailable()
-                && replica.registration().drainDeadlineUs() == Long.MAX_VALUE
+                && replica.registration().drainDeadlineUs() == ReplicaRecord.NO_DEADLINE
                 && !cluster.isEvacuated(replica.zone());
     }
 
--- a/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RetryPolicy.java
@@ -4,7 +4,7 @@
 
 /**
  * Every rule about retries: what follows a response, a failure or an unresponsive replica. A
- * request that may have run is sent again only when its route is repeatable, and a stream only when
+ * request that may have run is sent again only when its route is retriable, and a stream only when
  * its route is resumable. What replicas and budgets allow is decided elsewhere. The functions read
  * the request and change nothing.
  */
@@ -42,11 +42,11 @@
         if (request.streaming()) {
             return Decision.ABORT_STREAM;
         }
-        var repeatable = request.route().retriable();
-        if (HttpStatus.isServerError(status) && repeatable && !attemptsExhausted(request)) {
+        var retriable = request.route().retriable();
+        if (HttpStatus.isServerError(status) && retriable && !attemptsExhausted(request)) {
             return Decision.RETRY;
         }
-        return promisesNotRun(status) && !repeatable ? Decision.FAIL_MAY_HAVE_RUN : Decision.ANSWER;
+        return promisesNotRun(status) && !retriable ? Decision.FAIL_MAY_HAVE_RUN : Decision.ANSWER;
     }
 
     /**
--- a/edge/src/test/java/martenloom/edge/dispatch/RetryPolicyTest.java
+++ b/edge/src/test/java/martenloom/edge/dispatch/RetryPolicyTest.java
@@ -85,7 +85,7 @@
         "STREAMING, false, REJECTED, RETRY",
         "STREAMING, false, MAYBE_RUN, FAIL_MAY_HAVE_RUN"
     })
-    void whatMayHaveRunIsSentAgainOnlyOnARepeatableRoute(
+    void whatMayHaveRunIsSentAgainOnlyOnARetriableRoute(
             RouteKind kind, boolean resumable, Failure failure, Decision decision) {
         var request = request(kind, resumable, 1);
         assertEquals(decision, RetryPolicy.afterFailure(request, failure, IN_TIME_US));
@@ -116,9 +116,9 @@
         assertTrue(RetryPolicy.mayWaitForRetry(request), "it was rejected, not run");
         request.markMayHaveRun();
         assertFalse(RetryPolicy.mayWaitForRetry(request));
-        var repeatable = request(RouteKind.IDEMPOTENT, false, 1);
-        repeatable.markMayHaveRun();
-        assertTrue(RetryPolicy.mayWaitForRetry(repeatable));
+        var retriable = request(RouteKind.IDEMPOTENT, false, 1);
+        retriable.markMayHaveRun();
+        assertTrue(RetryPolicy.mayWaitForRetry(retriable));
     }
 
     @Test
