--- a/edge/src/test/java/martenloom/edge/replica/ReplicaFixture.java
+++ b/edge/src/test/java/martenloom/edge/replica/ReplicaFixture.java
@@ -4,7 +4,7 @@
 import martenloom.common.settings.SettingsFile;
 
 /** A replica table of an edge for tests, and registrations of replicas in its zone. */
-final class ReplicaFixture {
+public final class ReplicaFixture {
     private static final String SETTINGS =
             """
             NodeName = "edge"
@@ -22,12 +22,12 @@
     private ReplicaFixture() {}
 
     /** A table without replicas. */
-    static ReplicaTable table() {
+    public static ReplicaTable table() {
         return new ReplicaTable(SettingsFile.parse(SETTINGS));
     }
 
     /** A registration of a replica that serves. */
-    static ReplicaRecord registration(String id, long sequence) {
+    public static ReplicaRecord registration(String id, long sequence) {
         var registration = new ReplicaRecord();
         registration.setId(id);
         registration.setService("service");
@@ -38,7 +38,7 @@
     }
 
     /** Registers a replica in a table. */
-    static ReplicaEndpoint replica(ReplicaTable table, String id) {
+    public static ReplicaEndpoint replica(ReplicaTable table, String id) {
         table.register(registration(id, 1));
         return table.find(id).orElseThrow();
     }
