--- a/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ClusterView.java
@@ -12,7 +12,7 @@
 /**
  * What this edge knows of the cluster from the core: the route table in force, the evacuated zones,
  * the placement of replicas and the number of edges. Marks in the replica table which replicas are
- * unloaded and which start cold after an evacuation. Runs on the reactor thread.
+ * unloaded and which warm up again after an evacuation. Runs on the reactor thread.
  */
 final class ClusterView {
     /** What a replica's warm-up takes longer after an evacuation than its service says. */
@@ -90,7 +90,7 @@
                         placements.get(regionAndModel(replica.region(), service.model())));
     }
 
-    /** Replicas of a zone that is no longer evacuated start cold. */
+    /** Replicas of a zone that is no longer evacuated warm up again. */
     void setEvacuatedZones(Set<String> zones, long nowUs) {
         for (var replica : replicaTable.all()) {
             var zone = replica.zone();
--- a/edge/src/main/java/martenloom/edge/http/HeaderField.java
+++ b/edge/src/main/java/martenloom/edge/http/HeaderField.java
@@ -25,7 +25,7 @@
 
     private HeaderField() {}
 
-    /** The whole part of a decimal number, or {@link #NOT_A_NUMBER}. */
+    /** The integer part of a decimal number, or {@link #NOT_A_NUMBER}. */
     public static long parseNumber(String value) {
         try {
             return value.isEmpty() ? NOT_A_NUMBER : (long) Double.parseDouble(value);
