--- a/common/src/main/java/martenloom/common/clock/Clocks.java
+++ b/common/src/main/java/martenloom/common/clock/Clocks.java
@@ -15,8 +15,6 @@
     /** Added to the time of a reactor, whose zero must lie far back. */
     private static final long REACTOR_OFFSET_MS = 1_000_000_000_000L;
 
-    private static final int MAX_TRACE_FRAMES = 6;
-
     private Clocks() {}
 
     /** The steady time in microseconds; its zero is arbitrary. Thread-safe. */
@@ -29,21 +27,10 @@
         return Eventloop.builder()
                 .withThreadName(name)
                 .withTimeProvider(() -> System.nanoTime() / NS_PER_MS + REACTOR_OFFSET_MS)
-                .withFatalErrorHandler(
-                        (error, context) -> RingLog.error("fatal at " + name + ": " + trace(error)))
+                .withFatalErrorHandler((error, context) -> RingLog.error("fatal at " + name, error))
                 .build();
     }
 
-    /** An exception and the innermost frames of its stack, in one line. */
-    public static String trace(Throwable error) {
-        var line = new StringBuilder(error.toString());
-        var frames = error.getStackTrace();
-        for (var i = 0; i < Math.min(MAX_TRACE_FRAMES, frames.length); i++) {
-            line.append(" < ").append(frames[i]);
-        }
-        return line.toString();
-    }
-
     /** Runs a task once on the reactor thread after a delay in microseconds. */
     public static ReactorTimer after(Eventloop loop, long delayUs, Runnable task) {
         return new ReactorTimer(loop, delayUs, task);
@@ -61,7 +48,7 @@
                     try {
                         task.run();
                     } catch (RuntimeException e) {
-                        RingLog.error("timers: " + trace(e));
+                        RingLog.error("timers", e);
                     }
                     every(loop, pauseUs, task);
                 });
--- a/common/src/main/java/martenloom/common/link/PeerLink.java
+++ b/common/src/main/java/martenloom/common/link/PeerLink.java
@@ -180,7 +180,7 @@
         try {
             handler.onRecord(this, record);
         } catch (RuntimeException e) {
-            RingLog.error("link " + peer + " record " + record[0] + ": " + Clocks.trace(e));
+            RingLog.error("link " + peer + " record " + record[0], e);
         }
     }
 }
--- a/common/src/main/java/martenloom/common/log/RingLog.java
+++ b/common/src/main/java/martenloom/common/log/RingLog.java
@@ -13,7 +13,11 @@
 
     private static final Logger LOGGER = Logger.getLogger("martenloom");
     private static final int CAPACITY = 512;
+
+    /** How many messages of the ring an error prints, its own among them. */
     private static final int MAX_CONTEXT = 40;
+
+    private static final int MAX_TRACE_FRAMES = 6;
     private static final long MIN_INTERVAL_US = 2_000_000;
     private static final long US_PER_MS = 1000;
     private static final long NS_PER_US = 1000;
@@ -66,6 +70,16 @@
         printedBefore = nextNumber;
     }
 
+    /** Like {@link #error(String)}, with the exception and the innermost frames of its stack. */
+    public static void error(String message, Throwable cause) {
+        var line = new StringBuilder(message).append(": ").append(cause);
+        var frames = cause.getStackTrace();
+        for (var i = 0; i < Math.min(MAX_TRACE_FRAMES, frames.length); i++) {
+            line.append(" < ").append(frames[i]);
+        }
+        error(line.toString());
+    }
+
     /** The last messages, a line each. */
     public static synchronized String recent(int count) {
         var lines = new StringBuilder();
