--- a/routing/src/main/java/martenloom/routing/route/Route.java
+++ b/routing/src/main/java/martenloom/routing/route/Route.java
@@ -22,10 +22,10 @@
     /** The time for a whole request with all its attempts. */
     private final long timeoutUs;
 
-    /** The target for the time to the first byte of the response. */
+    /** The latency that its requests should keep to. */
     private final long latencyTargetUs;
 
-    /** The target for the gap between two tokens of a stream; 0 for none. */
+    /** The longest gap that a stream should have between two parts; 0 for no target. */
     private final long tokenGapTargetUs;
 
     private final int priority;
--- a/routing/src/main/java/martenloom/routing/route/ServiceSpec.java
+++ b/routing/src/main/java/martenloom/routing/route/ServiceSpec.java
@@ -31,7 +31,7 @@
     /** Tokens that the prefix cache of one engine holds. */
     private final long cacheTokens;
 
-    /** Pieces of a prompt that one step of prefill takes. */
+    /** Tokens that one event of a stream holds. */
     private final int stepSize;
 
     /** The model that its engines serve. */
