--- a/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
@@ -51,7 +51,7 @@
     void register(ReplicaRecord newer) {
         var wasDeregistered = registration.ended();
         registration = newer;
-        registration.setEnded(registration.ended() | wasDeregistered);
+        registration.setEnded(registration.ended() || wasDeregistered);
     }
 
     void deregister() {
