--- a/launcher/src/main/java/martenloom/launcher/RoleRunner.java
+++ b/launcher/src/main/java/martenloom/launcher/RoleRunner.java
@@ -104,6 +104,7 @@
      * Whatever a start throws ends the process with one line: a daemon that is only half started
      * must not stay. It is halted, since the shutdown hook would wait for this thread.
      */
+    @SuppressWarnings("checkstyle:IllegalCatch") // see above: whatever it is
     private static void startOrHalt(DaemonStart start) {
         try {
             start.run();
--- a/simulation/src/main/java/martenloom/simulation/SimulatedDay.java
+++ b/simulation/src/main/java/martenloom/simulation/SimulatedDay.java
@@ -56,6 +56,7 @@
     }
 
     /** Runs the day; whatever the code under test throws is a violation as well. */
+    @SuppressWarnings("checkstyle:IllegalCatch") // the code under test may throw anything
     private Optional<InvariantViolation> findViolation() {
         try {
             play();
