--- a/common/src/main/java/martenloom/common/jobs/Job.java
+++ b/common/src/main/java/martenloom/common/jobs/Job.java
@@ -250,7 +250,7 @@
 
     /** What the job counts against the limit on memory for jobs. */
     public long sizeBytes() {
-        return body.length
+        return (long) body.length
                 + checkpoint.length
                 + result.length
                 + path.length()
--- a/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
+++ b/simulation/src/main/java/martenloom/simulation/ScheduleShrinker.java
@@ -23,6 +23,7 @@
     }
 
     /** The shortest failing day that was found. */
+    @SuppressWarnings("ReferenceEquality") // the very same day says that no shorter one fails
     public DayResult shrink(DayResult failing) {
         var best = failing;
         var size = Math.max(1, failing.schedule().faults().size() / 2);
--- a/simulation/src/main/java/martenloom/simulation/cluster/LeaseGrantCallback.java
+++ b/simulation/src/main/java/martenloom/simulation/cluster/LeaseGrantCallback.java
@@ -4,6 +4,8 @@
 @FunctionalInterface
 public interface LeaseGrantCallback {
     /**
+     * Takes a grant.
+     *
      * @param fencingToken the fencing token of the grant
      * @param requestedAtUs the time that the granted request carried
      */
--- a/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
+++ b/simulation/src/test/java/martenloom/simulation/ScheduleShrinkerTest.java
@@ -16,7 +16,7 @@
 /** A failing schedule becomes as short as the fault allows. */
 final class ScheduleShrinkerTest {
     private static ScheduledFault fault(int number) {
-        return new ScheduledFault(number * 100, FaultKind.CRASH, number % 3, 50, number);
+        return new ScheduledFault(number * 100L, FaultKind.CRASH, number % 3, 50, number);
     }
 
     /** A day that fails when the faults of both numbers are in its schedule. */
