--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseRenewals.java
@@ -2,78 +2,56 @@
 
 import martenloom.common.codec.RecordReader;
 import martenloom.common.fleet.EdgeRecord;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.core.jobs.RegionJobListing;
 import martenloom.core.lease.LeaseRelay;
 import martenloom.core.registry.Registry;
 import martenloom.core.registry.ReplicaUpdatePublisher;
 
 /**
- * Takes the renewals of the edges of this home and answers each with news of the fleet and, for the
- * holder of that duty, the live jobs of its region. An edge that renews on a new link is first sent
- * all replicas and the whole configuration. Runs on the reactor thread.
+ * Takes the lease renewals of the edges of this home. Each is answered, forwards the edge's
+ * requests for role leases, and brings the holder of that role the live jobs of its region. Runs on
+ * the reactor thread.
  */
 public final class EdgeLeaseRenewals {
     private final Registry registry;
-    private final EdgeLinks homes;
-    private final ConfigurationPublisher configurations;
-    private final EdgeLeaseResponder news;
+    private final EdgeSynchronizer synchronizer;
+    private final EdgeLeaseResponder responder;
     private final RegionJobListing regionJobs;
-    private final ReplicaUpdatePublisher replicaNews;
-    private final LeaseRelay dutyRelay;
+    private final ReplicaUpdatePublisher updates;
+    private final LeaseRelay leaseRelay;
 
+    /** Holds no state of its own. */
     public EdgeLeaseRenewals(
             Registry registry,
-            EdgeLinks homes,
-            ConfigurationPublisher configurations,
-            EdgeLeaseResponder news,
+            EdgeSynchronizer synchronizer,
+            EdgeLeaseResponder responder,
             RegionJobListing regionJobs,
-            ReplicaUpdatePublisher replicaNews,
-            LeaseRelay dutyRelay) {
+            ReplicaUpdatePublisher updates,
+            LeaseRelay leaseRelay) {
         this.registry = registry;
-        this.homes = homes;
-        this.configurations = configurations;
-        this.news = news;
+        this.synchronizer = synchronizer;
+        this.responder = responder;
         this.regionJobs = regionJobs;
-        this.replicaNews = replicaNews;
-        this.dutyRelay = dutyRelay;
+        this.updates = updates;
+        this.leaseRelay = leaseRelay;
     }
 
-    public void onRenew(PeerLinks.Link link, RecordReader in, long now) {
-        var edge = EdgeRecord.read(in, now);
-        var stamp = in.i64();
-        edge.heardUs = now - link.delay.measure(stamp, now);
+    /** An edge renews its lease, as old as the renewal was under way. */
+    public void onRenewal(PeerLink link, RecordReader in, long nowUs) {
+        var edge = EdgeRecord.read(in, nowUs);
+        var sentAtUs = in.i64();
+        edge.setLastRenewalUs(nowUs - link.transitDelay().excessDelayUs(sentAtUs, nowUs));
         var holder = in.text();
-        var wantedDuties = in.texts();
-        var coldReplicas = in.texts();
-        registry.take(edge, true);
-        welcome(edge.ip, link, now);
-        link.send(news.record(edge, stamp, coldReplicas, now));
-        regionJobs.recordFor(holder, edge.region, now).ifPresent(link::send);
-        wantedDuties.forEach(duty -> dutyRelay.forwardRequest(duty, holder, stamp, now));
-        if (edge.leaving) {
-            replicaNews.flood();
+        var requestedRoles = in.texts();
+        var warmingReplicas = in.texts();
+        registry.accept(edge, true);
+        synchronizer.onRenewal(edge.ip(), link, nowUs);
+        link.send(responder.respond(edge, sentAtUs, warmingReplicas, nowUs));
+        regionJobs.recordFor(holder, edge.region(), nowUs).ifPresent(link::send);
+        requestedRoles.forEach(role -> leaseRelay.forwardRequest(role, holder, sentAtUs, nowUs));
+        if (edge.draining()) {
+            updates.publish();
         }
     }
-
-    /** Sends an edge what it lacks on this link. */
-    private void welcome(String edgeIp, PeerLinks.Link link, long now) {
-        if (homes.bind(edgeIp, link)) {
-            configurations.forget(edgeIp);
-            sendReplicas(link, now);
-        }
-        if (!configurations.sentTo(edgeIp)) {
-            configurations.sendWhole(edgeIp, link);
-        }
-    }
-
-    /** Sends the whole configuration and all replicas again, at the wish of the edge. */
-    public void onResync(PeerLinks.Link link, long now) {
-        configurations.sendWhole(link.tag instanceof String edgeIp ? edgeIp : "", link);
-        sendReplicas(link, now);
-    }
-
-    private void sendReplicas(PeerLinks.Link link, long now) {
-        link.send(registry.rows(registry.replicas(), true, now));
-    }
 }
--- a/core/src/main/java/martenloom/core/lease/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -5,7 +5,7 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.common.log.RingLog;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.edge.EdgeLinks;
@@ -75,7 +75,7 @@
     }
 
     /** Another core daemon forwards the request of one of its edges. */
-    public void onRequest(PeerLinks.Link link, RecordReader in) {
+    public void onRequest(PeerLink link, RecordReader in) {
         roleLeases.request(in.text(), in.text(), in.i64(), link::send);
     }
 
@@ -83,7 +83,7 @@
      * A grant counts when it comes from the current head, on our link to it, and no newer one is
      * known here.
      */
-    public void onGrant(PeerLinks.Link from, byte[] record, RecordReader in) {
+    public void onGrant(PeerLink from, byte[] record, RecordReader in) {
         var holder = in.text();
         var role = in.text();
         var fromHead = peers.headLink().filter(head -> head == from).isPresent();
@@ -96,11 +96,11 @@
      * The report of a lease holder. One of an edge of this home goes to all our edges and to the
      * other core daemons; one that such a daemon has sent goes to our edges only.
      */
-    public void onReport(PeerLinks.Link from, byte[] record, RecordReader in) {
+    public void onReport(PeerLink from, byte[] record, RecordReader in) {
         var role = in.text() + "/" + in.text();
         var reporter = in.text();
         if (chain.committed().leases().isSuperseded(role, in.i64())) {
-            RingLog.note(
+            RingLog.debug(
                     "a report of "
                             + reporter
                             + " with an older fencing token of "
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -1,8 +1,6 @@
 package martenloom.core.membership;
 
 import io.activej.eventloop.Eventloop;
-import io.activej.http.HttpHeaders;
-import io.activej.http.HttpResponse;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -17,71 +15,83 @@
 import martenloom.core.state.StampedCommand;
 
 /**
- * The way of a core daemon out of the chain at SIGTERM: callers and edges are sent elsewhere, the
- * head is asked to let this member go, and the process ends when a chain without it is active, or
- * shortly before the grace period ends.
+ * The graceful shutdown of a core daemon at SIGTERM. Callers and edges are sent elsewhere, the head
+ * is asked to form a chain without this member, and the process may end when such a chain is active
+ * and no caller waits, or shortly before the grace period ends.
+ *
+ * <p>Runs on the reactor thread, but for {@link #awaitEnd} and {@link #hasBegun}.
  */
 public final class GracefulShutdown {
-    /** What edges are told about the age of our knowledge, so that they choose another home. */
-    public static final long FAR_TOO_OLD_US = 3_600_000_000L;
+    private static final long STEP_US = 200_000;
+    private static final long US_PER_S = 1_000_000;
 
-    private static final long ASK_AGAIN_US = 200_000;
-
-    /** For this share of the grace period a needed member waits for another to come back. */
-    private static final double WAITS_SHARE = 0.45;
+    /** For this share of the grace period a member that is needed waits for another one. */
+    private static final double PATIENT_SHARE = 0.45;
 
     /** So much of the grace period is left for the end of the process itself. */
-    private static final long END_US = 900_000;
+    private static final long PROCESS_END_US = 900_000;
 
-    /** So long after its release the process waits for answers that its callers are owed. */
-    private static final long ANSWERS_US = 900_000;
+    /** So long after its release the process waits for answers that callers are owed. */
+    private static final long ANSWERS_TIMEOUT_US = 900_000;
 
     private final Eventloop loop;
     private final Settings settings;
     private final ChainMember chain;
-    private final CommandSubmitter orders;
-    private final BooleanSupplier owesAnswers;
+    private final CommandSubmitter commands;
+    private final BooleanSupplier callersWaiting;
     private volatile boolean begun;
-    private boolean taken;
-    private long urgentUs;
-    private long endUs;
+
+    /** Whether the head has accepted that this member departs. */
+    private boolean accepted;
+
+    /** From when on this member asks to be released in any case. */
+    private long urgentFromUs;
+
+    private long deadlineUs;
+
+    /** When the chain could first do without this member; 0 before. */
     private volatile long releasedUs;
 
+    /**
+     * @param callersWaiting whether callers of this daemon wait for an answer
+     */
     public GracefulShutdown(
             Eventloop loop,
             Settings settings,
             ChainMember chain,
-            CommandSubmitter orders,
-            BooleanSupplier owesAnswers) {
+            CommandSubmitter commands,
+            BooleanSupplier callersWaiting) {
         this.loop = loop;
         this.settings = settings;
         this.chain = chain;
-        this.orders = orders;
-        this.owesAnswers = owesAnswers;
+        this.commands = commands;
+        this.callersWaiting = callersWaiting;
     }
 
-    public boolean begun() {
+    /** Whether the shutdown has begun, so that callers are to be sent elsewhere. Thread-safe. */
+    public boolean hasBegun() {
         return begun;
     }
 
     /**
-     * Called from another thread; returns when the process may end, and says whether the chain does
-     * without this member, so that it ends in order.
+     * Shuts down; called from another thread than the reactor's. Returns when the process may end.
+     *
+     * @return whether the chain does without this member
      */
-    public boolean run() {
+    public boolean awaitEnd() {
         var done = new CountDownLatch(1);
-        var graceUs = (long) (settings.bounds.graceS * 1_000_000);
-        urgentUs = Clocks.nowUs() + (long) (graceUs * WAITS_SHARE);
-        endUs = Clocks.nowUs() + graceUs - END_US;
+        var graceUs = (long) (settings.bounds().gracePeriodS() * US_PER_S);
+        urgentFromUs = Clocks.nowUs() + (long) (graceUs * PATIENT_SHARE);
+        deadlineUs = Clocks.nowUs() + graceUs - PROCESS_END_US;
         loop.execute(
                 () -> {
-                    RingLog.note("leaving");
+                    RingLog.debug("graceful shutdown begins");
                     begun = true;
                     chain.onLeave(Clocks.nowUs());
                     step(done);
                 });
         try {
-            done.await(graceUs - END_US / 2, TimeUnit.MICROSECONDS);
+            done.await(graceUs - PROCESS_END_US / 2, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -89,38 +99,37 @@
     }
 
     private void step(CountDownLatch done) {
-        var now = Clocks.nowUs();
-        if (mayEnd(now) || now >= endUs) {
-            var how = releasedUs > 0 ? "in order" : "at the end of the grace period";
-            RingLog.note("left " + how);
+        var nowUs = Clocks.nowUs();
+        if (mayEnd(nowUs) || nowUs >= deadlineUs) {
+            RingLog.debug(
+                    releasedUs > 0
+                            ? "graceful shutdown done, the chain does without this member"
+                            : "graceful shutdown cut short by the end of the grace period");
             done.countDown();
             return;
         }
         if (releasedUs == 0) {
-            var urgency = now < urgentUs ? Urgency.CAN_WAIT : Urgency.IMMEDIATE;
-            var order = StampedCommand.of(new MarkDeparting(settings.ip, urgency));
-            orders.submit(order, (code, text) -> taken |= code == ResultCode.OK);
+            requestRelease(nowUs);
         }
-        Clocks.after(loop, ASK_AGAIN_US, () -> step(done));
+        Clocks.after(loop, STEP_US, () -> step(done));
+    }
+
+    private void requestRelease(long nowUs) {
+        var urgency = nowUs < urgentFromUs ? Urgency.CAN_WAIT : Urgency.IMMEDIATE;
+        commands.submit(
+                StampedCommand.of(new MarkDeparting(settings.ipAddress(), urgency)),
+                (code, text) -> accepted |= code == ResultCode.OK);
     }
 
     /**
      * Not before the chain can do without this member; then when no caller waits, or soon after.
      */
-    private boolean mayEnd(long now) {
+    private boolean mayEnd(long nowUs) {
         var learning = chain.mode() == ChainMember.Mode.LEARNING;
-        if (releasedUs == 0 && (taken || learning) && chain.released(now)) {
-            releasedUs = now;
+        if (releasedUs == 0 && (accepted || learning) && chain.released(nowUs)) {
+            releasedUs = nowUs;
         }
-        return releasedUs > 0 && (!owesAnswers.getAsBoolean() || now - releasedUs > ANSWERS_US);
-    }
-
-    /** The answer to every caller from now on. */
-    public static HttpResponse goElsewhere() {
-        return HttpResponse.ofCode(503)
-                .withHeader(HttpHeaders.CONNECTION, "close")
-                .withHeader(HttpHeaders.RETRY_AFTER, "1")
-                .withPlainText("this daemon is leaving")
-                .build();
+        return releasedUs > 0
+                && (!callersWaiting.getAsBoolean() || nowUs - releasedUs > ANSWERS_TIMEOUT_US);
     }
 }
--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -14,20 +14,25 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.OutgoingPeerLink;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
-import martenloom.core.registry.RegistryCheckpoint;
+import martenloom.core.registry.FleetSize;
 
 /**
- * The outgoing links to the other core daemons, and the region that each has told. There is one
- * link for each peer; members of the roster and seeds are kept for good, others until they have not
- * been reached for a while. A record for a peer that is not reached is dropped. Runs on the reactor
- * thread.
+ * The outgoing links to the other core daemons, one for each. Links to members of the roster and to
+ * seed nodes are kept for good, others until the peer was not reached for a while. A record for a
+ * peer that is not reached is dropped. Core daemons introduce themselves on a link by a HELLO
+ * record and answer it with the peers that they know. Runs on the reactor thread.
  */
 public final class CorePeerLinks {
     private static final long REDIAL_US = 200_000;
-    private static final long SILENCE_US = 2_000_000;
+
+    /** A link on which nothing was heard for so long is closed and opened again. */
+    private static final long SILENCE_TIMEOUT_US = 2_000_000;
 
     /** A core daemon outside the roster that was not reached for so long is forgotten. */
     private static final long FORGET_US = 20_000_000;
@@ -35,12 +40,16 @@
     private final Eventloop loop;
     private final Settings settings;
     private final ChainMember chain;
-    private final RegistryCheckpoint memory;
-    private final PeerLinks.Handler handler;
-    private final Map<String, PeerLinks.Dial> dials = new TreeMap<>();
+    private final FleetSize fleetSize;
+    private final PeerRegions regions;
+    private final PeerLinkHandler handler;
+    private final Map<String, OutgoingPeerLink> links = new TreeMap<>();
+
+    /** When each peer was last found reached or needed. */
     private final Map<String, Long> reachedUs = new HashMap<>();
-    private final Map<String, String> regions = new TreeMap<>();
-    private int turn;
+
+    /** How many times one peer was chosen in turn. */
+    private int turns;
 
     /**
      * @param handler gets what arrives on the links
@@ -49,160 +58,138 @@
             Eventloop loop,
             Settings settings,
             ChainMember chain,
-            RegistryCheckpoint memory,
-            PeerLinks.Handler handler) {
+            FleetSize fleetSize,
+            PeerRegions regions,
+            PeerLinkHandler handler) {
         this.loop = loop;
         this.settings = settings;
         this.chain = chain;
-        this.memory = memory;
+        this.fleetSize = fleetSize;
+        this.regions = regions;
         this.handler = handler;
     }
 
-    public static List<String> seedIps(Settings settings) {
-        return settings.seeds.stream()
-                .map(seed -> seed.substring(0, seed.lastIndexOf(':')))
-                .distinct()
-                .toList();
+    /** The address of this daemon. */
+    public String localIp() {
+        return settings.ipAddress();
     }
 
     // ---- links
 
     /** Opens the link to a peer, unless there is one already. */
     public void dial(String ip) {
-        if (ip.equals(settings.ip) || dials.containsKey(ip)) {
+        if (ip.equals(localIp()) || links.containsKey(ip)) {
             return;
         }
-        var address = Settings.address("peer", ip + ":" + settings.portLow);
-        dials.put(
+        var address = IpPort.parse("peer", ip + ":" + settings.firstInternalPort());
+        links.put(
                 ip,
-                new PeerLinks.Dial(loop, address, REDIAL_US, link -> link.send(hello()), handler));
+                new OutgoingPeerLink(
+                        loop, address, REDIAL_US, link -> link.send(hello()), handler));
     }
 
+    /** Opens the links to several peers. */
     public void dialAll(Collection<String> ips) {
         ips.forEach(this::dial);
     }
 
+    /** Opens the links to the seed nodes. */
     public void dialSeeds() {
-        dialAll(seedIps(settings));
+        dialAll(SeedNodes.ips(settings));
     }
 
-    /** Gives up the links on which nothing was heard for a while; they are opened again. */
+    /** Closes the links on which nothing was heard for a while; they are opened again. */
     public void closeSilent() {
-        dials.values().forEach(dial -> dial.check(SILENCE_US));
+        links.values().forEach(link -> link.closeIfSilent(SILENCE_TIMEOUT_US));
     }
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
-    public void forgetGone(long now) {
+    public void forgetUnreachable(long nowUs) {
         var needed = new TreeSet<>(chain.memberState().state.roster().members());
         needed.addAll(chain.committed().roster().members());
-        needed.addAll(seedIps(settings));
-        for (var ip : List.copyOf(dials.keySet())) {
+        needed.addAll(SeedNodes.ips(settings));
+        for (var ip : List.copyOf(links.keySet())) {
             if (needed.contains(ip) || link(ip).isPresent()) {
-                reachedUs.put(ip, now);
-            } else if (now - reachedUs.computeIfAbsent(ip, k -> now) > FORGET_US) {
-                dials.remove(ip).stop();
+                reachedUs.put(ip, nowUs);
+            } else if (nowUs - reachedUs.computeIfAbsent(ip, unused -> nowUs) > FORGET_US) {
+                links.remove(ip).stop();
                 reachedUs.remove(ip);
                 regions.remove(ip);
             }
         }
     }
 
+    /** Closes all links for good. */
     public void stop() {
-        dials.values().forEach(PeerLinks.Dial::stop);
+        links.values().forEach(OutgoingPeerLink::stop);
     }
 
-    /** The peers that are dialed, whether they are reached or not; follows the changes. */
+    /** A live view of the peers that are dialed, whether they are reached or not. */
     public Set<String> dialed() {
-        return Collections.unmodifiableSet(dials.keySet());
+        return Collections.unmodifiableSet(links.keySet());
     }
 
-    public Optional<PeerLinks.Link> link(String ip) {
-        return Optional.ofNullable(dials.get(ip)).flatMap(PeerLinks.Dial::link);
+    /** The link to a peer, if it is reached. */
+    public Optional<PeerLink> link(String ip) {
+        return Optional.ofNullable(links.get(ip)).flatMap(OutgoingPeerLink::link);
     }
 
-    /** The link to the head of the moment. */
-    public Optional<PeerLinks.Link> headLink() {
+    /** The link to the current head of the chain, if it is reached. */
+    public Optional<PeerLink> headLink() {
         return link(chain.head());
     }
 
-    /** The roster and who is reached beside it: where an edge or a new core daemon may turn to. */
+    /** The roster and whoever else is reached: where an edge or a new core daemon may turn to. */
     public Collection<String> reachable() {
         var ips = new TreeSet<>(chain.committed().roster().members());
-        dials.forEach((ip, dial) -> dial.link().ifPresent(link -> ips.add(ip)));
-        ips.add(settings.ip);
+        links.forEach((ip, outgoing) -> outgoing.link().ifPresent(link -> ips.add(ip)));
+        ips.add(localIp());
         return ips;
     }
 
     // ---- sending
 
+    /** Sends a record to a peer if it is reached. */
     public void send(String ip, byte[] record) {
         link(ip).ifPresent(link -> link.send(record));
     }
 
+    /** Sends a record to all peers that are reached. */
     public void sendAll(byte[] record) {
-        dials.values().forEach(dial -> dial.send(record));
+        links.values().forEach(link -> link.send(record));
     }
 
-    /** Sends to one of the peers that are reached, each in its turn. */
+    /** Sends a record to one of the peers that are reached, each in its turn. */
     public void sendToNext(byte[] record) {
-        var reached = dials.values().stream().filter(dial -> dial.link().isPresent()).toList();
+        var reached = links.values().stream().filter(link -> link.link().isPresent()).toList();
         if (!reached.isEmpty()) {
-            reached.get(turn++ % reached.size()).send(record);
+            reached.get(turns++ % reached.size()).send(record);
         }
     }
 
+    // ---- introduction
+
+    /** Introduces this daemon again to all peers, as a sign of life. */
     public void sendHello() {
         sendAll(hello());
     }
 
-    /** Makes us known on a link, at its start and then as a sign of life. */
     private byte[] hello() {
         return new RecordWriter(RecordType.HELLO)
-                .text(settings.ip)
-                .text(settings.region)
-                .i32(memory.mostEdges())
+                .text(localIp())
+                .text(settings.region())
+                .i32(fleetSize.maxEdges())
                 .i64(Clocks.nowUs())
                 .bytes();
     }
 
-    /** A peer makes itself known: it is told whom we reach, and is dialed in return. */
-    public void onHello(PeerLinks.Link link, RecordReader in) {
-        link.peer = in.text();
-        regions.put(link.peer, in.text());
-        memory.sawEdges(in.i32());
-        link.delay.measure(in.i64(), Clocks.nowUs());
+    /** A peer introduces itself: it gets the peers that we reach, and is dialed in return. */
+    public void onHello(PeerLink link, RecordReader in) {
+        link.setPeer(in.text());
+        regions.put(link.peer(), in.text());
+        fleetSize.observeEdges(in.i32());
+        link.transitDelay().excessDelayUs(in.i64(), Clocks.nowUs());
         link.send(new RecordWriter(RecordType.KNOWN_PEERS).texts(reachable()).bytes());
-        dial(link.peer);
-    }
-
-    // ---- regions
-
-    /** Whether a peer has made itself known as one of our region. */
-    public boolean isInOwnRegion(String ip) {
-        return settings.region.equals(regions.getOrDefault(ip, ""));
-    }
-
-    /** How many core daemons of our region have made themselves known, ourselves with them. */
-    public int homesInRegion() {
-        var others =
-                regions.keySet().stream()
-                        .filter(ip -> isInOwnRegion(ip) && !ip.equals(settings.ip))
-                        .count();
-        return 1 + (int) others;
-    }
-
-    /**
-     * A region in which a member of the roster lies although it is not allowed; "unknown" when the
-     * region of a member is not known, empty when all lie in allowed regions.
-     */
-    public String regionOutside(Set<String> allowed) {
-        for (var member : chain.committed().roster().members()) {
-            var region =
-                    member.equals(settings.ip) ? settings.region : regions.getOrDefault(member, "");
-            if (!allowed.contains(region)) {
-                return region.isEmpty() ? "unknown" : region;
-            }
-        }
-        return "";
+        dial(link.peer());
     }
 }
--- a/core/src/main/java/martenloom/core/placement/PlacementService.java
+++ b/core/src/main/java/martenloom/core/placement/PlacementService.java
@@ -1,92 +1,99 @@
 package martenloom.core.placement;
 
+import java.util.List;
 import java.util.Optional;
 import java.util.Set;
 import java.util.SortedSet;
-import java.util.function.Function;
+import martenloom.common.fleet.ReplicaRecord;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.configuration.CompiledRoutes;
 import martenloom.core.registry.Registry;
-import martenloom.core.state.ClusterState;
-import martenloom.core.state.Command.Placing;
 import martenloom.core.state.ReplicaTarget;
 import martenloom.routing.placement.Placement;
-import martenloom.routing.route.RouteTable;
+import martenloom.routing.placement.PlacementFinding;
 
 /**
- * What runs where, for the placement check: the survey that the chain's head takes in the step that
- * decides a change, what the loss of any one region would strand now, and what an order would
- * bring. The check itself is pure and lies with the routing text; the refusal is the chain's.
+ * What runs where, for the placement check: the survey that the head takes in the step that decides
+ * a command, what the loss of any one region would strand now, and what an operator's order would
+ * bring. The check itself is pure and lies with the routing language; the refusal is the chain's.
+ * Runs on the reactor thread.
  */
 public final class PlacementService {
+    /** A new head waits so long before it reports, until the replicas are known to it. */
+    private static final long SETTLING_US = 4_000_000;
+
     private final Settings settings;
     private final ChainMember chain;
     private final Registry registry;
-    private final Function<ClusterState, RouteTable> table;
+    private final CompiledRoutes routes;
+
+    /** What was exposed when it was last reported. */
+    private Set<PlacementFinding> reported = Set.of();
 
+    /** Reads the registry and the committed state at each call. */
     public PlacementService(
-            Settings p,
-            ChainMember chain,
-            Registry registry,
-            Function<ClusterState, RouteTable> table) {
-        settings = p;
+            Settings settings, ChainMember chain, Registry registry, CompiledRoutes routes) {
+        this.settings = settings;
         this.chain = chain;
         this.registry = registry;
-        this.table = table;
+        this.routes = routes;
     }
 
-    /** What is registered and would run now, those that rest by order among them. */
-    public Placement now() {
-        var p = new Placement();
-        var ev = chain.committed().evacuations().zones();
-        for (var r : registry.replicas()) {
-            if (!r.gone && !r.draining && !r.silent && !ev.contains(r.zone)) {
-                p.put(r.service, settings.regionOf(r.zone), r.id);
+    /** What is registered and could serve now, replicas that rest by order included. */
+    public Placement current() {
+        var placement = new Placement();
+        var evacuated = chain.committed().evacuations().zones();
+        for (var replica : registry.replicas()) {
+            if (isInService(replica) && !evacuated.contains(replica.zone())) {
+                placement.addReplica(
+                        replica.service(), settings.regionOf(replica.zone()), replica.id());
             }
         }
-        return p;
+        return placement;
     }
 
-    public SortedSet<Placement.Finding> exposure() {
-        var s = chain.committed();
-        var t = table.apply(s);
-        return s.scaling().serving(now(), t).findings(t);
+    private static boolean isInService(ReplicaRecord replica) {
+        return !replica.ended() && !replica.draining() && !replica.unreachable();
     }
 
-    private Set<Placement.Finding> exposed = Set.of();
+    /** What the loss of any one region would strand now. */
+    public SortedSet<PlacementFinding> exposure() {
+        var table = routes.table();
+        return chain.committed().scaling().serving(current(), table).findings(table);
+    }
 
     /**
-     * The head says once what has become exposed, whoever brought it about: an order of the
-     * operator, a crash, a loss.
+     * Reports once, while this member is the head, what has become exposed, whatever the cause: an
+     * order of the operator, a crash, a loss.
      */
-    public void watch(long now) {
+    public void reportExposure(long nowUs) {
         if (!chain.heading()
-                || now - chain.headingSinceUs() < 4_000_000
+                || nowUs - chain.headingSinceUs() < SETTLING_US
                 || chain.committed().configuration().revision() == 0) {
             return;
         }
-        var f = exposure();
-        f.stream()
-                .filter(x -> !exposed.contains(x))
-                .forEach(x -> RingLog.say("exposure: " + x.text()));
+        var exposed = exposure();
         exposed.stream()
-                .filter(x -> !f.contains(x))
-                .forEach(x -> RingLog.note("exposure ended: " + x.text()));
-        exposed = f;
+                .filter(finding -> !reported.contains(finding))
+                .forEach(finding -> RingLog.info("exposure: " + finding.text()));
+        reported.stream()
+                .filter(finding -> !exposed.contains(finding))
+                .forEach(finding -> RingLog.debug("exposure ended: " + finding.text()));
+        reported = exposed;
     }
 
-    /** What an operator's order would bring, without giving it. */
-    public String would(String key, String order) {
-        var s = chain.committed();
-        var t = table.apply(s);
-        var target =
-                Placing.ofWireName(order) == Placing.UNLOAD
-                        ? Optional.of(ReplicaTarget.UNLOADED)
-                        : Optional.<ReplicaTarget>empty();
-        var bad = s.scaling().newlyExposed(s.scaling().withTarget(key, target), now(), t);
-        return bad.isEmpty()
-                ? "ok: nothing is stranded\n"
-                : String.join("\n", bad.stream().map(Placement.Finding::text).toList()) + "\n";
+    /**
+     * What would be stranded if the operator unloaded a deployment, or loaded it again; nothing is
+     * ordered by that.
+     *
+     * @param deployment a region and a model, as {@code REGION/MODEL}
+     */
+    public List<PlacementFinding> strandedBy(String deployment, boolean unload) {
+        var scaling = chain.committed().scaling();
+        var target = unload ? Optional.of(ReplicaTarget.UNLOADED) : Optional.<ReplicaTarget>empty();
+        return scaling.newlyExposed(
+                scaling.withTarget(deployment, target), current(), routes.table());
     }
 }
--- a/core/src/main/java/martenloom/core/registry/Registry.java
+++ b/core/src/main/java/martenloom/core/registry/Registry.java
@@ -2,15 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Collection;
 import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Objects;
 import java.util.Optional;
-import java.util.stream.Stream;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
@@ -20,373 +14,251 @@
 import martenloom.common.fleet.ReplicaRecord;
 
 /**
- * The registry of replicas and edges at one core daemon. What comes in directly is flooded to the
- * other cores; copies are compared by digests over ranges and mended from the newer. Rows are kept
- * in shards, each under its own lock: the HTTP side reads while the peer side writes. An edge is a
- * member while its lease is renewed; a replica that has been silent for several beats is marked so,
- * and a life that ended leaves a tombstone for a while.
+ * The registry of replicas and edges at one core daemon. Rows that come in directly are sent to the
+ * other core daemons; the copies are compared by digests over ranges and repaired from the newer
+ * row.
+ *
+ * <p>A replica is reachable while its heartbeats come in, then unreachable, and forgotten after a
+ * while; one that was deregistered leaves a tombstone, which is newer than any heartbeat. An edge
+ * is live while its lease is renewed. Thread-safe: the rows lie in shards, each under a lock of its
+ * own.
  */
 public final class Registry {
+    /** How long an edge stays live after it has renewed its lease. */
     private static final long EDGE_LEASE_US = 2_500_000;
-    private static final long FORGET_US = 60_000_000;
 
-    /**
-     * How long it is remembered that a replica was deregistered: far longer than any beat of it can
-     * be under way.
-     */
-    private static final long TOMBSTONE_US = 600_000_000;
+    /** A replica is unreachable after so many heartbeats in a row were missed, and the slack. */
+    private static final int MISSED_HEARTBEATS = 3;
 
-    private static final int MOST_TOMBSTONES = 4_096;
-    private static final long TELL_US = 1_200_000;
-
-    private static final class Shard {
-        final Map<String, ReplicaRecord> replicas = new HashMap<>();
-        final Map<String, EdgeRecord> edges = new HashMap<>();
-    }
+    private static final long HEARTBEAT_SLACK_US = 300_000;
 
-    private final Shard[] shards = new Shard[DigestRanges.COUNT];
-    private final long silentUs;
-    private final Map<String, ReplicaRecord> freshReplicas = new LinkedHashMap<>();
-    private final Map<String, EdgeRecord> freshEdges = new LinkedHashMap<>();
-    private final Map<String, ReplicaRecord> changed = new LinkedHashMap<>();
-    private final Map<String, Long> toldUs = new HashMap<>();
-    private volatile boolean digestOld = true;
-    private volatile boolean endsChanged;
-    private int digest;
-
-    public Registry(long beatUs) {
-        silentUs = beatUs * 3 + 300_000;
-        Arrays.setAll(shards, i -> new Shard());
-    }
-
-    private Shard of(String k) {
-        return shards[DigestRanges.of(k)];
-    }
+    private static final int MAX_TOMBSTONES = 4_096;
+    private static final int HASH_FACTOR = 31;
 
-    /**
-     * Takes a row; true when it was newer. Direct rows are flooded on. A row that is too old to be
-     * kept is not taken, so that copies which daemons pass to each other never outlive the
-     * original.
-     */
-    public boolean take(ReplicaRecord r, boolean direct) {
-        if (Clocks.nowUs() - r.heardUs > keptUs(r)) {
-            return false;
-        }
-        var s = of(r.id);
-        synchronized (s) {
-            var old = Optional.ofNullable(s.replicas.get(r.id));
-            if (old.isPresent() && !r.newer(old.get())) {
-                return false;
-            }
-            s.replicas.put(r.id, r);
-            var same =
-                    old.isPresent()
-                                    && old.get().digest() == r.digest()
-                                    && Math.abs(old.get().warmAtUs - r.warmAtUs) < 300_000
-                            || old.isPresent()
-                                    && old.get().digest() == r.digest()
-                                    && r.warmAtUs <= Clocks.nowUs()
-                                    && old.get().warmAtUs <= Clocks.nowUs();
-            mark(r, direct, same);
-            return true;
-        }
-    }
+    private final RegistryShard[] shards = new RegistryShard[DigestRanges.COUNT];
+    private final RegistryUpdates updates = new RegistryUpdates();
+    private final long unreachableAfterUs;
+    private int replicaDigest;
 
     /**
-     * What is new goes to the edges, and what came in directly to the other daemons. Word that a
-     * replica drains or has ended is told on by every daemon that hears of it first, so that it
-     * also passes around a cut between two of them.
+     * @param heartbeatIntervalUs how often replicas send heartbeats
      */
-    private synchronized void mark(ReplicaRecord r, boolean direct, boolean same) {
-        var ends = !same && (r.draining || r.gone);
-        if (direct || ends) {
-            freshReplicas.put(r.id, r);
-        }
-        if (!same) {
-            digestOld = true;
-            endsChanged |= ends;
-            changed.put(r.id, r);
-        }
+    public Registry(long heartbeatIntervalUs) {
+        unreachableAfterUs = heartbeatIntervalUs * MISSED_HEARTBEATS + HEARTBEAT_SLACK_US;
+        Arrays.setAll(shards, unused -> new RegistryShard(updates));
     }
 
-    public boolean take(EdgeRecord e, boolean direct) {
-        var s = of(e.ip);
-        synchronized (s) {
-            var old = Optional.ofNullable(s.edges.get(e.ip));
-            if (old.isPresent() && !e.newer(old.get())) {
-                return false;
-            }
-            s.edges.put(e.ip, e);
-            if (direct) {
-                tell(e, old.map(o -> o.digest() == e.digest()).orElse(false));
-            }
-        }
-        return true;
+    private RegistryShard shardOf(String key) {
+        return shards[DigestRanges.of(key)];
     }
 
-    /** A renewal that says nothing new is told on only now and then, well within the lease. */
-    private synchronized void tell(EdgeRecord e, boolean same) {
-        if (!same || e.heardUs - toldUs.getOrDefault(e.ip, 0L) >= TELL_US) {
-            toldUs.put(e.ip, e.heardUs);
-            freshEdges.put(e.ip, e);
-        }
-    }
+    // ---- rows
 
-    public Optional<ReplicaRecord> replica(String id) {
-        var s = of(id);
-        synchronized (s) {
-            return Optional.ofNullable(s.replicas.get(id));
-        }
+    /**
+     * Takes a row of a replica; false when it is not newer than the one that is known. A row that
+     * is too old to be kept is not taken either, so that copies which daemons pass to each other
+     * never outlive the original.
+     *
+     * @param direct whether the replica itself has reported it, so that it is to be sent on
+     */
+    public boolean accept(ReplicaRecord replica, boolean direct) {
+        return !RegistryShard.isOutdated(replica, Clocks.nowUs())
+                && shardOf(replica.id()).accept(replica, direct);
     }
 
-    private static long keptUs(ReplicaRecord r) {
-        return r.gone ? TOMBSTONE_US : FORGET_US;
+    /**
+     * Takes a row of an edge; false when it is not newer than the one that is known.
+     *
+     * @param direct whether the edge itself has reported it, so that it is to be sent on
+     */
+    public boolean accept(EdgeRecord edge, boolean direct) {
+        return shardOf(edge.ip()).accept(edge, direct);
     }
 
     /**
      * Ends a replica for good, whether it is known or not. The tombstone that stays is newer than
-     * any beat, travels as rows do, and is bounded in age and number.
+     * any heartbeat, travels as rows do, and is bounded in age and number.
      */
-    public void bury(String id, long now) {
+    public void markEnded(String id, long nowUs) {
         var tombstone = new ReplicaRecord();
         replica(id)
                 .ifPresent(
-                        r -> {
-                            tombstone.service = r.service;
-                            tombstone.address = r.address;
-                            tombstone.zone = r.zone;
-                            tombstone.seq = r.seq + 1;
+                        known -> {
+                            tombstone.setService(known.service());
+                            tombstone.setAddress(known.address());
+                            tombstone.setZone(known.zone());
+                            tombstone.setSequence(known.sequence() + 1);
                         });
-        tombstone.id = id;
-        tombstone.gone = true;
-        tombstone.draining = true;
-        tombstone.heardUs = now;
-        take(tombstone, true);
+        tombstone.setId(id);
+        tombstone.setEnded(true);
+        tombstone.setDraining(true);
+        tombstone.setLastHeartbeatUs(nowUs);
+        accept(tombstone, true);
     }
 
-    /**
-     * Whether some replica was reported as draining or ended since the last call for what changed.
-     */
-    public boolean endsChanged() {
-        return endsChanged;
+    /** The row of a replica, which may be a tombstone. */
+    public Optional<ReplicaRecord> replica(String id) {
+        return shardOf(id).replica(id);
     }
 
-    /** Forgets the oldest tombstones when there are too many. */
-    private void boundTombstones() {
-        var tombstones =
-                replicas().stream()
-                        .filter(r -> r.gone)
-                        .sorted(Comparator.comparingLong((ReplicaRecord r) -> r.heardUs))
-                        .toList();
-        for (var r : tombstones.subList(0, Math.max(0, tombstones.size() - MOST_TOMBSTONES))) {
-            var s = of(r.id);
-            synchronized (s) {
-                s.replicas.remove(r.id);
-            }
+    /** All replicas with the tombstones, in the order of their ids. */
+    public List<ReplicaRecord> replicas() {
+        var replicas = new ArrayList<ReplicaRecord>();
+        for (var shard : shards) {
+            shard.copyReplicasTo(replicas);
         }
+        replicas.sort(Comparator.comparing(ReplicaRecord::id));
+        return replicas;
     }
 
-    /** Marks the silent and forgets the long gone. */
-    public void sweep(long now) {
-        var ended = 0;
-        for (var s : shards) {
-            synchronized (s) {
-                digestOld |= s.replicas.values().removeIf(r -> now - r.heardUs > keptUs(r));
-                s.edges.values().removeIf(e -> now - e.heardUs > FORGET_US);
-                for (var r : s.replicas.values()) {
-                    ended += r.gone ? 1 : 0;
-                    if (!r.silent && !r.gone && now - r.heardUs > silentUs) {
-                        r.silent = true;
-                        mark(r, false, false);
-                    }
-                }
-            }
+    /** The edges whose lease runs, in the order of their addresses. */
+    public List<EdgeRecord> liveEdges(long nowUs) {
+        var edges = new ArrayList<EdgeRecord>();
+        for (var shard : shards) {
+            shard.copyEdgesTo(edges);
+        }
+        edges.removeIf(edge -> nowUs - edge.lastRenewalUs() >= EDGE_LEASE_US);
+        edges.sort(Comparator.comparing(EdgeRecord::ip));
+        return edges;
+    }
+
+    /** Marks the replicas that are no longer heard and forgets what is outdated. */
+    public void sweep(long nowUs) {
+        var tombstones = 0;
+        for (var shard : shards) {
+            tombstones += shard.sweep(nowUs, unreachableAfterUs);
         }
-        if (ended > MOST_TOMBSTONES) {
-            boundTombstones();
+        if (tombstones > MAX_TOMBSTONES) {
+            removeOldestTombstones();
         }
     }
 
-    public List<ReplicaRecord> replicas() {
-        return Stream.of(shards)
-                .flatMap(
-                        s -> {
-                            synchronized (s) {
-                                return new ArrayList<>(s.replicas.values()).stream();
-                            }
-                        })
-                .sorted(Comparator.comparing(r -> r.id))
-                .toList();
+    private void removeOldestTombstones() {
+        var tombstones = replicas();
+        tombstones.removeIf(replica -> !replica.ended());
+        tombstones.sort(Comparator.comparingLong(ReplicaRecord::lastHeartbeatUs));
+        for (var tombstone :
+                tombstones.subList(0, Math.max(0, tombstones.size() - MAX_TOMBSTONES))) {
+            shardOf(tombstone.id()).removeReplica(tombstone.id());
+        }
     }
 
-    public List<EdgeRecord> edges() {
-        return Stream.of(shards)
-                .flatMap(
-                        s -> {
-                            synchronized (s) {
-                                return new ArrayList<>(s.edges.values()).stream();
-                            }
-                        })
-                .sorted(Comparator.comparing(e -> e.ip))
-                .toList();
+    // ---- updates to edges
+
+    /** Whether the changed replicas include one that drains or has ended. */
+    public boolean isEndPending() {
+        return updates.isEndPending();
     }
 
-    /** The members among the edges: those whose lease still runs. */
-    public List<EdgeRecord> members(long now) {
-        return edges().stream().filter(e -> now - e.heardUs < EDGE_LEASE_US).toList();
+    /** The record of the replicas that have changed since the last call, if there are any. */
+    public Optional<byte[]> pollChangedReplicas(long nowUs) {
+        var changed = updates.pollReplicasForEdges();
+        return changed.isEmpty()
+                ? Optional.empty()
+                : Optional.of(RegistryRecords.replicaUpdate(changed, false, nowUs));
     }
 
-    public synchronized List<ReplicaRecord> pollChanged() {
-        var l = new ArrayList<>(changed.values());
-        changed.clear();
-        endsChanged = false;
-        return l;
+    /** The record of all replicas. */
+    public byte[] allReplicas(long nowUs) {
+        return RegistryRecords.replicaUpdate(replicas(), true, nowUs);
     }
 
-    /**
-     * The rows that came in directly since the last call, as one record for the other cores; empty
-     * when there are none.
-     */
-    public synchronized Optional<byte[]> pollFlood(long now) {
-        if (freshReplicas.isEmpty() && freshEdges.isEmpty()) {
-            return Optional.empty();
+    /** What the copy of the replicas at an edge is compared by. */
+    public int replicaDigest() {
+        if (updates.pollDigestOutdated()) {
+            var digest = 0;
+            for (var shard : shards) {
+                digest += shard.liveReplicaDigest();
+            }
+            replicaDigest = digest;
         }
-        var b = flood(freshReplicas.values(), freshEdges.values(), now);
-        freshReplicas.clear();
-        freshEdges.clear();
-        return Optional.of(b);
+        return replicaDigest;
     }
 
-    /** A flood of the row of this replica alone, as it is known here. */
-    public byte[] rowFlood(String id, long now) {
-        return flood(replica(id).stream().toList(), List.of(), now);
+    // ---- updates to and from other core daemons
+
+    /** The record of the rows that came in directly since the last call, if there are any. */
+    public Optional<byte[]> pollUpdate(long nowUs) {
+        return updates.pollForPeers(nowUs);
     }
 
-    private static byte[] flood(Collection<ReplicaRecord> rs, Collection<EdgeRecord> es, long now) {
-        return new RecordWriter(RecordType.REGISTRY_UPDATE)
-                .i64(now)
-                .list(rs, (o, r) -> r.write(o, now))
-                .list(es, (o, e) -> e.write(o, now))
-                .bytes();
+    /** The record of the row of one replica, as it is known here. */
+    public byte[] updateOf(String replicaId, long nowUs) {
+        return RegistryRecords.update(replica(replicaId).stream().toList(), List.of(), nowUs);
     }
 
     /**
-     * Takes the rows of a flood that left its sender at this time of our clock, from which their
-     * ages count.
+     * Takes the rows of another core daemon.
+     *
+     * @param sentUs the time by our clock at which they were sent, from which their ages count
      */
-    public void takeFlood(RecordReader in, long sentUs) {
-        in.list(x -> take(ReplicaRecord.read(x, sentUs), false));
-        in.list(x -> take(EdgeRecord.read(x, sentUs), false));
+    public void acceptUpdate(RecordReader in, long sentUs) {
+        in.list(row -> accept(ReplicaRecord.read(row, sentUs), false));
+        in.list(row -> accept(EdgeRecord.read(row, sentUs), false));
     }
 
+    /** The record of the digests of our rows, by range. */
     public byte[] digests() {
-        var o = new RecordWriter(RecordType.REGISTRY_DIGEST);
-        for (var s : shards) {
-            synchronized (s) {
-                o.i32(digest(s));
-            }
+        var out = new RecordWriter(RecordType.REGISTRY_DIGEST);
+        for (var shard : shards) {
+            out.i32(shard.digest());
         }
-        return o.bytes();
+        return out.bytes();
     }
 
-    private static int digest(Shard s) {
-        var d = 0;
-        for (var r : s.replicas.values()) {
-            d += Objects.hash(r.id, r.draining, r.gone);
-        }
-        for (var e : s.edges.values()) {
-            d += e.digest();
-        }
-        return d;
-    }
-
-    /** Our rows of the ranges in which a peer's digests differ from ours. */
-    public Optional<byte[]> mend(RecordReader in, long now) {
-        var rs = new ArrayList<ReplicaRecord>();
-        var es = new ArrayList<EdgeRecord>();
-        for (var s : shards) {
-            var d = in.i32();
-            synchronized (s) {
-                if (d != digest(s)) {
-                    rs.addAll(s.replicas.values());
-                    es.addAll(s.edges.values());
-                }
+    /** The record of our rows of the ranges in which the digests of another daemon differ. */
+    public Optional<byte[]> answerDigests(RecordReader digests, long nowUs) {
+        var replicas = new ArrayList<ReplicaRecord>();
+        var edges = new ArrayList<EdgeRecord>();
+        for (var shard : shards) {
+            if (digests.i32() != shard.digest()) {
+                shard.copyReplicasTo(replicas);
+                shard.copyEdgesTo(edges);
             }
         }
-        return rs.isEmpty() && es.isEmpty() ? Optional.empty() : Optional.of(flood(rs, es, now));
+        return replicas.isEmpty() && edges.isEmpty()
+                ? Optional.empty()
+                : Optional.of(RegistryRecords.update(replicas, edges, nowUs));
     }
 
-    public byte[] rows(Collection<ReplicaRecord> rs, boolean whole, long now) {
-        return new RecordWriter(RecordType.REPLICA_UPDATE)
-                .flag(whole)
-                .list(rs, (o, r) -> r.write(o, now))
-                .bytes();
+    // ---- checkpoint
+
+    /** What changes when the checkpoint on disk has to be written again. */
+    int checkpointDigest() {
+        var tombstones = 0;
+        for (var shard : shards) {
+            tombstones += shard.tombstoneDigest();
+        }
+        return replicaDigest() * HASH_FACTOR + tombstones;
     }
 
-    /**
-     * A note for the next start: the most edges ever, by which shares are divided, and the replicas
-     * as they were.
-     */
-    public byte[] memo(int mostEdges, int mostHomes, long now) {
-        return new RecordWriter()
-                .i32(mostEdges)
-                .i32(mostHomes)
-                .list(replicas(), (o, r) -> r.write(o, now))
-                .bytes();
+    /** Appends all replicas to a checkpoint. */
+    RecordWriter writeReplicas(RecordWriter out, long nowUs) {
+        return out.list(replicas(), (row, replica) -> replica.write(row, nowUs));
     }
 
     /**
-     * Takes the replicas of a note. They may be gone, which a attempt finds out, or cold, so they
-     * count as cold until their next beat says otherwise. Tombstones keep their age.
+     * Takes the replicas of a checkpoint. They may have ended, which an attempt finds out, or be
+     * warming up, so they count as warming up until their next heartbeat says otherwise. Tombstones
+     * keep their age.
+     *
+     * @param warmupUs how long they count as warming up at most
+     * @return the number of replicas that are not tombstones
      */
-    public int remember(RecordReader in, long now, long coldUs) {
+    int restoreReplicas(RecordReader in, long nowUs, long warmupUs) {
         return (int)
-                in
-                        .list(
-                                x -> {
-                                    var r = ReplicaRecord.read(x, now);
-                                    if (r.gone) {
-                                        take(r, false);
-                                        return false;
-                                    }
-                                    r.heardUs = now;
-                                    r.silent = false;
-                                    r.warmAtUs = Math.max(r.warmAtUs, now + coldUs);
-                                    take(r, false);
-                                    return true;
-                                })
-                        .stream()
+                in.list(row -> restore(ReplicaRecord.read(row, nowUs), nowUs, warmupUs)).stream()
                         .filter(live -> live)
                         .count();
     }
 
-    /** What tells whether the note for the next start has to be written anew. */
-    public int noteDigest() {
-        var ended = 0;
-        for (var s : shards) {
-            synchronized (s) {
-                for (var r : s.replicas.values()) {
-                    ended += r.gone ? r.id.hashCode() : 0;
-                }
-            }
-        }
-        return edgeDigest() * 31 + ended;
-    }
-
-    /** What an edge's copy is compared by. */
-    public int edgeDigest() {
-        if (digestOld) {
-            digestOld = false;
-            var d = 0;
-            for (var s : shards) {
-                synchronized (s) {
-                    for (var r : s.replicas.values()) {
-                        d += r.gone ? 0 : r.digest();
-                    }
-                }
-            }
-            digest = d;
+    private boolean restore(ReplicaRecord replica, long nowUs, long warmupUs) {
+        if (!replica.ended()) {
+            replica.setLastHeartbeatUs(nowUs);
+            replica.setUnreachable(false);
+            replica.setWarmFromUs(Math.max(replica.warmFromUs(), nowUs + warmupUs));
         }
-        return digest;
+        accept(replica, false);
+        return !replica.ended();
     }
 }
--- /dev/null
+++ b/core/src/main/java/martenloom/core/registry/RegistryRecords.java
@@ -0,0 +1,37 @@
+package martenloom.core.registry;
+
+import java.util.Collection;
+import martenloom.common.codec.RecordWriter;
+import martenloom.common.fleet.EdgeRecord;
+import martenloom.common.fleet.RecordType;
+import martenloom.common.fleet.ReplicaRecord;
+
+/**
+ * Encodes rows of the registry for other daemons. Times in a row are ages and remainders, counted
+ * from the time of sending.
+ */
+final class RegistryRecords {
+    private RegistryRecords() {}
+
+    /** Rows for other core daemons; the time of sending tells them how long it was under way. */
+    static byte[] update(
+            Collection<ReplicaRecord> replicas, Collection<EdgeRecord> edges, long nowUs) {
+        return new RecordWriter(RecordType.REGISTRY_UPDATE)
+                .i64(nowUs)
+                .list(replicas, (out, replica) -> replica.write(out, nowUs))
+                .list(edges, (out, edge) -> edge.write(out, nowUs))
+                .bytes();
+    }
+
+    /**
+     * Rows for edges.
+     *
+     * @param complete whether these are all replicas, so that an edge forgets the others
+     */
+    static byte[] replicaUpdate(Collection<ReplicaRecord> replicas, boolean complete, long nowUs) {
+        return new RecordWriter(RecordType.REPLICA_UPDATE)
+                .flag(complete)
+                .list(replicas, (out, replica) -> replica.write(out, nowUs))
+                .bytes();
+    }
+}
--- a/core/src/main/java/martenloom/core/state/JobReports.java
+++ b/core/src/main/java/martenloom/core/state/JobReports.java
@@ -1,5 +1,7 @@
 package martenloom.core.state;
 
+import martenloom.common.jobs.JobJson;
+
 /** The jobs of a table as text: in JSON for the control API, in lines for the shell. */
 final class JobReports {
     private static final long MS_US = 1_000;
@@ -11,7 +13,7 @@
         var text = new StringBuilder("{\"Jobs\":[");
         var separator = "";
         for (var job : table.byId().values()) {
-            text.append(separator).append(job.json(nowUs));
+            text.append(separator).append(JobJson.render(job, nowUs));
             separator = ",";
         }
         return text.append("]}").toString();
@@ -24,14 +26,14 @@
             text.append(
                     String.format(
                             "%s %s %s age %d ms slack %d ms runs %d fence %d %s\n",
-                            job.id,
-                            job.state.word(),
-                            job.region,
-                            (nowUs - job.submittedUs) / MS_US,
-                            (job.dueUs - nowUs) / MS_US,
-                            job.runs,
-                            job.fence,
-                            job.why));
+                            job.id(),
+                            job.state().label(),
+                            job.region(),
+                            (nowUs - job.submittedUs()) / MS_US,
+                            (job.deadlineUs() - nowUs) / MS_US,
+                            job.attempts(),
+                            job.fencingToken(),
+                            job.reason()));
         }
         return text.toString();
     }
--- a/core/src/main/java/martenloom/core/state/JobRunnerRules.java
+++ b/core/src/main/java/martenloom/core/state/JobRunnerRules.java
@@ -3,6 +3,8 @@
 import java.util.Base64;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobState;
 import martenloom.core.state.Command.AppendJobOutput;
 import martenloom.core.state.Command.FinishJob;
 import martenloom.core.state.Command.JobCompletion;
@@ -38,16 +40,21 @@
 
     /** Carries out a report about a job that is known. */
     CommandResult<JobTable> decide(JobRunnerCommand report, Job job, LeaseTable leases) {
-        if (!leases.isInForce(job.duty(), report.fencingToken())) {
+        if (!leases.isInForce(job.role(), report.fencingToken())) {
             return conflict("fence " + report.fencingToken() + " is not the grant in force");
         }
         if (report instanceof StartJob start) {
             return start(start, job);
         }
-        if (job.state != Job.State.RUNNING
-                || job.fence != report.fencingToken()
-                || job.runs != report.run()) {
-            return conflict(standing(job) + " under fence " + job.fence + ", run " + job.runs);
+        if (job.state() != JobState.RUNNING
+                || job.fencingToken() != report.fencingToken()
+                || job.attempts() != report.run()) {
+            return conflict(
+                    standing(job)
+                            + " under fence "
+                            + job.fencingToken()
+                            + ", run "
+                            + job.attempts());
         }
         if (report instanceof AppendJobOutput append) {
             return append(append.output(), job);
@@ -62,34 +69,39 @@
      * given back starts nothing.
      */
     private CommandResult<JobTable> start(StartJob start, Job job) {
-        if (job.runs != start.run()) {
+        if (job.attempts() != start.run()) {
             return conflict(
-                    "job '" + job.id + "' has had " + job.runs + " runs, not " + start.run());
+                    "job '"
+                            + job.id()
+                            + "' has had "
+                            + job.attempts()
+                            + " runs, not "
+                            + start.run());
         }
-        if (job.state == Job.State.RUNNING && job.fence < start.fencingToken()) {
-            if (!job.repeatable) {
+        if (job.state() == JobState.RUNNING && job.fencingToken() < start.fencingToken()) {
+            if (!job.retriable()) {
                 var reason = "its runner was lost and it may have run";
-                return end(job, Job.State.UNCERTAIN, reason);
+                return end(job, JobState.UNCERTAIN, reason);
             }
-        } else if (job.state != Job.State.WAITING) {
+        } else if (job.state() != JobState.WAITING) {
             return conflict(standing(job));
         }
         var running = job.copy();
-        running.state = Job.State.RUNNING;
-        running.fence = start.fencingToken();
-        running.runs++;
-        running.why = "running at " + start.replica();
+        running.setState(JobState.RUNNING);
+        running.setFencingToken(start.fencingToken());
+        running.setAttempts(running.attempts() + 1);
+        running.setReason("running at " + start.replica());
         var encoded = new RecordWriter();
-        running.write(encoded);
+        JobCodec.write(running, encoded);
         return table.with(running, atUs, Base64.getEncoder().encodeToString(encoded.bytes()));
     }
 
     /** Saves a part of the output that follows what is saved; the last part again is no error. */
     private CommandResult<JobTable> append(JobOutput output, Job job) {
-        var saved = job.kept.length;
+        var saved = job.checkpoint().length;
         var isCopy =
                 output.offset() + output.content().length == saved
-                        && job.lastEvent.equals(output.lastEventId());
+                        && job.lastEventId().equals(output.lastEventId());
         if (isCopy) {
             return CommandResult.unchanged("");
         }
@@ -97,54 +109,54 @@
             return conflict(savedBytes(job) + ", not " + output.offset());
         }
         var longer = job.copy();
-        longer.lastEvent = output.lastEventId();
-        longer.kept = Job.join(job.kept, output.content());
+        longer.setLastEventId(output.lastEventId());
+        longer.setCheckpoint(job.checkpointFollowedBy(output.content()));
         return withOutput(longer, job);
     }
 
     private CommandResult<JobTable> finish(JobCompletion completion, Job job) {
-        if (completion.offset() != job.kept.length) {
+        if (completion.offset() != job.checkpoint().length) {
             return conflict(savedBytes(job));
         }
-        var done = table.ended(job, Job.State.DONE, "", atUs);
-        done.status = completion.status();
-        done.result = Job.join(job.kept, completion.content());
-        done.kept = new byte[0];
-        done.body = new byte[0];
+        var done = table.ended(job, JobState.DONE, "", atUs);
+        done.setStatus(completion.status());
+        done.setResult(job.checkpointFollowedBy(completion.content()));
+        done.setCheckpoint(new byte[0]);
+        done.setBody(new byte[0]);
         return withOutput(done, job);
     }
 
     /** The job with its longer output, or the job before it failed if that is too long. */
     private CommandResult<JobTable> withOutput(Job longer, Job before) {
-        return longer.bytes() > MAX_JOB_AND_OUTPUT_BYTES
-                ? end(before, Job.State.FAILED, "the result is over the limit")
+        return longer.sizeBytes() > MAX_JOB_AND_OUTPUT_BYTES
+                ? end(before, JobState.FAILED, "the result is over the limit")
                 : table.with(longer, atUs, "");
     }
 
     private CommandResult<JobTable> giveBack(JobFailure failure, Job job) {
-        if (failure.kind() == RunFailure.MAY_HAVE_RUN && !job.repeatable) {
-            return end(job, Job.State.UNCERTAIN, failure.reason());
+        if (failure.kind() == RunFailure.MAY_HAVE_RUN && !job.retriable()) {
+            return end(job, JobState.UNCERTAIN, failure.reason());
         }
-        var failed = failure.kind() == RunFailure.RAN_AND_FAILED && !job.repeatable;
-        if (failed || failure.kind() != RunFailure.NOT_RUN && job.runs >= MAX_RUNS) {
-            return end(job, Job.State.FAILED, failure.reason());
+        var failed = failure.kind() == RunFailure.RAN_AND_FAILED && !job.retriable();
+        if (failed || failure.kind() != RunFailure.NOT_RUN && job.attempts() >= MAX_RUNS) {
+            return end(job, JobState.FAILED, failure.reason());
         }
         var waiting = job.copy();
-        waiting.state = Job.State.WAITING;
-        waiting.why = failure.reason();
+        waiting.setState(JobState.WAITING);
+        waiting.setReason(failure.reason());
         return table.with(waiting, atUs, "");
     }
 
-    private CommandResult<JobTable> end(Job job, Job.State state, String reason) {
+    private CommandResult<JobTable> end(Job job, JobState state, String reason) {
         return table.with(table.ended(job, state, reason, atUs), atUs, "");
     }
 
     private static String standing(Job job) {
-        return "job '" + job.id + "' is " + job.state.word();
+        return "job '" + job.id() + "' is " + job.state().label();
     }
 
     private static String savedBytes(Job job) {
-        return "job '" + job.id + "' has " + job.kept.length + " bytes kept";
+        return "job '" + job.id() + "' has " + job.checkpoint().length + " bytes kept";
     }
 
     private static CommandResult<JobTable> conflict(String reason) {
--- a/core/src/main/java/martenloom/core/state/ScalingState.java
+++ b/core/src/main/java/martenloom/core/state/ScalingState.java
@@ -12,6 +12,7 @@
 import martenloom.core.state.Command.SetReplicaCount;
 import martenloom.routing.language.RoutingLanguage;
 import martenloom.routing.placement.Placement;
+import martenloom.routing.placement.PlacementFinding;
 import martenloom.routing.route.RouteTable;
 
 /**
@@ -132,12 +133,12 @@
         }
         var next = withTarget(deployment, wanted);
         var table = RoutingLanguage.compile(evidence.routingText());
-        var findings = newlyExposed(next, Placement.of(evidence.survey()), table);
+        var findings = newlyExposed(next, Placement.decode(evidence.survey()), table);
         return findings.isEmpty()
                 ? CommandResult.changed(next, "")
                 : CommandResult.refused(
                         ResultCode.CONFLICT,
-                        String.join("; ", findings.stream().map(Placement.Finding::text).toList()));
+                        String.join("; ", findings.stream().map(PlacementFinding::text).toList()));
     }
 
     /** The same with another target for one deployment, or with none; nothing is checked. */
@@ -149,9 +150,10 @@
     }
 
     /** What the loss of one region would strand under the next state and wouldn't under this. */
-    public List<Placement.Finding> newlyExposed(
+    public List<PlacementFinding> newlyExposed(
             ScalingState next, Placement registered, RouteTable table) {
-        return Placement.added(serving(registered, table), next.serving(registered, table), table);
+        return Placement.regressions(
+                serving(registered, table), next.serving(registered, table), table);
     }
 
     /** What runs when those that rest by these targets are taken away. */
@@ -162,10 +164,11 @@
             var model = entry.getKey().substring(regionEnd + 1);
             serving =
                     serving.without(
-                            table.services.values().stream()
+                            table.services().values().stream()
                                     .filter(
                                             service ->
-                                                    service.engine && service.model.equals(model))
+                                                    service.inferenceEngine()
+                                                            && service.model().equals(model))
                                     .toList(),
                             entry.getKey().substring(0, regionEnd),
                             entry.getValue().pinned(),
--- a/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
@@ -17,7 +17,9 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.fleet.ReplicaRecord;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.registry.FleetSize;
 import martenloom.core.registry.Registry;
+import martenloom.core.registry.RegistryCheckpoint;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.FileSystemFolder;
 import martenloom.core.storage.VersionedStore;
@@ -67,32 +69,35 @@
     private static byte[] note() {
         var nowUs = Clocks.nowUs();
         var registry = new Registry(BEAT_US);
-        registry.take(replica("running", nowUs), true);
+        registry.accept(replica("running", nowUs), true);
         var warming = replica("warming", nowUs);
-        warming.warmAtUs = nowUs + 9 * SECOND_US;
-        registry.take(warming, true);
+        warming.setWarmFromUs(nowUs + 9 * SECOND_US);
+        registry.accept(warming, true);
         var leaving = replica("draining", nowUs);
-        leaving.draining = true;
-        leaving.leavesAtUs = nowUs + 30 * SECOND_US;
-        registry.take(leaving, true);
+        leaving.setDraining(true);
+        leaving.setDrainDeadlineUs(nowUs + 30 * SECOND_US);
+        registry.accept(leaving, true);
         var silent = replica("silent", nowUs - 4 * SECOND_US);
-        silent.silent = true;
-        registry.take(silent, true);
-        registry.take(replica("ended", nowUs), true);
-        registry.bury("ended", nowUs);
-        registry.bury("never-heard", nowUs);
-        return registry.memo(17, 3, nowUs + 2 * SECOND_US);
+        silent.setUnreachable(true);
+        registry.accept(silent, true);
+        registry.accept(replica("ended", nowUs), true);
+        registry.markEnded("ended", nowUs);
+        registry.markEnded("never-heard", nowUs);
+        var fleetSize = new FleetSize();
+        fleetSize.observeEdges(17);
+        fleetSize.observeHomes(3);
+        return RegistryCheckpoint.encode(registry, fleetSize, nowUs + 2 * SECOND_US);
     }
 
     private static ReplicaRecord replica(String id, long heardUs) {
         var replica = new ReplicaRecord();
-        replica.id = id;
-        replica.service = "s";
-        replica.address = "10.0.0.9:8080";
-        replica.zone = "north-a";
-        replica.capacity = 8;
-        replica.seq = 41;
-        replica.heardUs = heardUs;
+        replica.setId(id);
+        replica.setService("s");
+        replica.setAddress("10.0.0.9:8080");
+        replica.setZone("north-a");
+        replica.setCapacity(8);
+        replica.setSequence(41);
+        replica.setLastHeartbeatUs(heardUs);
         return replica;
     }
 
--- a/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
+++ b/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
@@ -16,17 +16,17 @@
 final class LoadAggregatorTest {
     private final LoadAggregator aggregator = new LoadAggregator();
 
-    private static LoadSummary sample(int inHand, int flights) {
-        var t = LoadSummary.ofEdge();
-        t.put("r", inHand, inHand * 100, false);
-        for (var i = 0; i < flights; i++) {
-            t.fly("north/m");
+    private static LoadSummary sample(int inFlight, int inFlightOfModel) {
+        var sample = LoadSummary.ofEdge();
+        sample.addReplica("r", inFlight, inFlight * 100, false);
+        for (var i = 0; i < inFlightOfModel; i++) {
+            sample.addInFlight("north/m");
         }
-        return t;
+        return sample;
     }
 
     private int total(long now) {
-        return aggregator.total(aggregator.ownSum(now), now).load("r").inHand;
+        return aggregator.total(aggregator.ownSum(now), now).replicaLoad("r").inFlight();
     }
 
     @Test
@@ -36,7 +36,7 @@
         assertTrue(
                 aggregator.acceptHome(
                         "h2", 5, 1, new LoadSummary().add(sample(5, 2)).add(sample(1, 1)), 0));
-        var w =
+        var total =
                 LoadSummary.read(
                         new RecordReader(
                                 aggregator
@@ -44,11 +44,14 @@
                                         .write(new RecordWriter())
                                         .bytes(),
                                 false));
-        assertEquals(11, w.load("r").inHand);
-        assertEquals(1100, w.load("r").unread);
-        assertEquals(8, w.flights().get("north/m"));
-        assertEquals(4, w.edges());
-        assertEquals(8, w.less(sample(3, 4)).load("r").inHand, "an edge takes its own part away");
+        assertEquals(11, total.replicaLoad("r").inFlight());
+        assertEquals(1100, total.replicaLoad("r").pendingPrefillTokens());
+        assertEquals(8, total.inFlightByModel().get("north/m"));
+        assertEquals(4, total.edgeCount());
+        assertEquals(
+                8,
+                total.subtract(sample(3, 4)).replicaLoad("r").inFlight(),
+                "an edge takes its own part away");
     }
 
     @Test
