--- a/common/src/main/java/martenloom/common/load/LoadSummary.java
+++ b/common/src/main/java/martenloom/common/load/LoadSummary.java
@@ -9,13 +9,13 @@
 /**
  * The load of all replicas as edges see it, summed in two steps: an edge reports its own part to
  * its home, a home adds up the parts of its edges and exchanges sums with the other homes, and each
- * edge receives the total. It holds the {@link ReplicaLoad} of each replica, the requests in flight
- * by region and model, and the number of edges that were added up. Not thread-safe.
+ * edge receives the total. It holds the {@link ReplicaLoadSummary} of each replica, the requests in
+ * flight by region and model, and the number of edges that were added up. Not thread-safe.
  */
 public final class LoadSummary {
-    private static final ReplicaLoad NONE = new ReplicaLoad();
+    private static final ReplicaLoadSummary NONE = new ReplicaLoadSummary();
 
-    private final Map<String, ReplicaLoad> loads = new HashMap<>();
+    private final Map<String, ReplicaLoadSummary> loads = new HashMap<>();
 
     /** Requests in flight by region and model. */
     private final Map<String, Integer> inFlightByModel = new TreeMap<>();
@@ -40,14 +40,14 @@
     }
 
     /** The load of a replica; all 0 when none is known. */
-    public ReplicaLoad replicaLoad(String replica) {
+    public ReplicaLoadSummary replicaLoad(String replica) {
         return loads.getOrDefault(replica, NONE);
     }
 
     /** Adds what this edge has in flight at a replica, and returns the replica's load. */
-    public ReplicaLoad addReplica(
+    public ReplicaLoadSummary addReplica(
             String replica, int inFlight, int pendingPrefillTokens, boolean suspecting) {
-        var load = loads.computeIfAbsent(replica, key -> new ReplicaLoad());
+        var load = loads.computeIfAbsent(replica, key -> new ReplicaLoadSummary());
         load.addFromEdge(inFlight, pendingPrefillTokens, suspecting);
         return load;
     }
@@ -70,7 +70,7 @@
     private LoadSummary change(LoadSummary other, int sign) {
         other.loads.forEach(
                 (replica, load) -> {
-                    var sum = loads.computeIfAbsent(replica, key -> new ReplicaLoad());
+                    var sum = loads.computeIfAbsent(replica, key -> new ReplicaLoadSummary());
                     sum.add(load, sign);
                     if (sum.isZero()) {
                         loads.remove(replica);
@@ -119,7 +119,8 @@
         in.list(
                 reader -> {
                     var load =
-                            summary.loads.computeIfAbsent(reader.text(), key -> new ReplicaLoad());
+                            summary.loads.computeIfAbsent(
+                                    reader.text(), key -> new ReplicaLoadSummary());
                     load.read(reader);
                     return load;
                 });
--- a/edge/src/main/java/martenloom/edge/LoadView.java
+++ b/edge/src/main/java/martenloom/edge/LoadView.java
@@ -51,19 +51,24 @@
     Optional<byte[]> part(long now) {
         var t = LoadSummary.ofEdge();
         for (var s : replicaTable.all()) {
-            var doubt = s.suspectUntilUs > now && s.doubtful || s.wondering;
-            var bad = s.health.bad(now);
-            var ok = s.health.ok(now);
-            if (s.mine > 0 || doubt || bad + ok > 0) {
-                var l = t.addReplica(s.row.id(), s.mine, s.unread, doubt);
+            var doubt = s.reachability().reportsSuspicion(now);
+            var bad = s.health().failures(now);
+            var ok = s.health().successes(now);
+            if (s.load().ownInFlight() > 0 || doubt || bad + ok > 0) {
+                var l =
+                        t.addReplica(
+                                s.id(),
+                                s.load().ownInFlight(),
+                                s.load().ownPendingPrefillTokens(),
+                                doubt);
                 l.setSuccesses(ok);
                 l.setFailures(bad);
-                l.setHearingEdges(!doubt && now - s.heardUs < HEARD_US ? 1 : 0);
+                l.setHearingEdges(!doubt && now - s.reachability().heardUs() < HEARD_US ? 1 : 0);
             }
         }
         dispatcher.inFlight(t);
         var b = t.write(new RecordWriter()).bytes();
-        if (Arrays.equals(b, last) && dispatcher.places.told() && ++quiet < QUIET_TURNS) {
+        if (Arrays.equals(b, last) && dispatcher.places.isAllReported() && ++quiet < QUIET_TURNS) {
             return Optional.empty();
         }
         quiet = 0;
@@ -73,7 +78,7 @@
             told.remove(told.keySet().iterator().next());
         }
         var o = t.write(new RecordWriter(RecordType.LOAD_SAMPLE).text(ip).i64(life).i64(seq));
-        dispatcher.places.write(o);
+        dispatcher.places.writeUnreported(o);
         return Optional.of(o.bytes());
     }
 
@@ -81,20 +86,20 @@
         var mine = told.getOrDefault(in.i64(), new LoadSummary());
         whole = LoadSummary.read(in);
         wholeUs = now;
-        dispatcher.places.read(in);
+        dispatcher.places.readReported(in);
         var zone = LoadSummary.read(in);
         for (var s : replicaTable.all()) {
-            var a = whole.replicaLoad(s.row.id());
-            var m = mine.replicaLoad(s.row.id());
-            var h = zone.replicaLoad(s.row.id());
-            s.others(
+            var a = whole.replicaLoad(s.id());
+            var m = mine.replicaLoad(s.id());
+            var h = zone.replicaLoad(s.id());
+            s.onPeerTotals(
                     a.inFlight() - m.inFlight(),
                     a.pendingPrefillTokens() - m.pendingPrefillTokens(),
                     h.suspectingEdges() - m.suspectingEdges(),
                     h.hearingEdges() - m.hearingEdges(),
                     now);
             if (a.failures() > 0) {
-                replicaTable.judge(
+                replicaTable.ejectIfOutlier(
                         s, a.successes(), a.failures(), h.successes(), h.failures(), now);
             }
         }
