--- a/core/src/main/java/martenloom/core/api/ApiResponses.java
+++ b/core/src/main/java/martenloom/core/api/ApiResponses.java
@@ -13,7 +13,7 @@
 
     private ApiResponses() {}
 
-    /** A call has succeeded and there is nothing to tell. */
+    /** A call has succeeded and has no result. */
     static HttpResponse ok() {
         return ok(EMPTY_OBJECT);
     }
--- a/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
@@ -17,9 +17,9 @@
 
 /**
  * Forwards commands to the head of the chain, here or at another core daemon, and the results back.
- * Every caller is answered once; one whose command went to another daemon is told that it is
- * unavailable when no result came in time, and does not know then whether the command was carried
- * out. Runs on the reactor thread.
+ * Every caller is answered once; one whose command went to another daemon gets {@link
+ * ResultCode#UNAVAILABLE} when no result came in time, and does not know then whether the command
+ * was carried out. Runs on the reactor thread.
  */
 public final class CommandForwarder implements CommandSubmitter {
     private static final long RESULT_TIMEOUT_US = 2_500_000;
--- a/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
+++ b/core/src/test/java/martenloom/core/lease/RoleLeaseServiceTest.java
@@ -18,16 +18,16 @@
 import martenloom.core.state.StampedCommand;
 import org.junit.jupiter.api.Test;
 
-/** Leases at the head of a chain of one member, whose disk finishes a write when it is told to. */
+/** Leases at the head of a chain of one member, whose disk finishes a write on demand. */
 final class RoleLeaseServiceTest {
-    private static final String KEY = "scale/north";
+    private static final String ROLE = "scale/north";
     private static final long STEP_US = 50_000;
 
     private final List<String> granted = new ArrayList<>();
     private final Map<Long, BiConsumer<ResultCode, String>> asked = new HashMap<>();
     private final Deque<ChainMember.Store> stores = new ArrayDeque<>();
     private final ChainMember chain;
-    private final RoleLeaseService duties;
+    private final RoleLeaseService roleLeases;
     private boolean stalled;
     private long nowUs = 1_000_000;
     private long requests;
@@ -39,7 +39,7 @@
                         ChainMember.Ballot.ZERO,
                         ClusterState.founded(List.of("a")));
         chain = new ChainMember("a", 1, Optional.of(founded), Comparator.naturalOrder(), nowUs);
-        duties = new RoleLeaseService(chain, this::ask, () -> nowUs);
+        roleLeases = new RoleLeaseService(chain, this::ask, () -> nowUs);
     }
 
     private void ask(StampedCommand change, BiConsumer<ResultCode, String> reply) {
@@ -47,18 +47,18 @@
         chain.onAsk(nowUs, requests, change);
     }
 
-    private void run(long us) {
-        for (var untilUs = nowUs + us; nowUs < untilUs; nowUs += STEP_US) {
+    private void run(long durationUs) {
+        for (var untilUs = nowUs + durationUs; nowUs < untilUs; nowUs += STEP_US) {
             chain.onTick(nowUs);
             carryOut();
-            duties.tick(nowUs);
+            roleLeases.tick(nowUs);
             carryOut();
         }
     }
 
     private void carryOut() {
-        for (var l = chain.drain(); !l.isEmpty(); l = chain.drain()) {
-            l.forEach(this::carryOut);
+        for (var outputs = chain.drain(); !outputs.isEmpty(); outputs = chain.drain()) {
+            outputs.forEach(this::carryOut);
             while (!stalled && !stores.isEmpty()) {
                 chain.onStored(nowUs, stores.poll().token());
             }
@@ -70,12 +70,12 @@
             stores.add(store);
         } else if (command instanceof ChainMember.Answer answer) {
             Optional.ofNullable(asked.remove(answer.request()))
-                    .ifPresent(r -> r.accept(answer.code(), answer.text()));
+                    .ifPresent(reply -> reply.accept(answer.code(), answer.text()));
         }
     }
 
-    private void want(String holder) {
-        duties.request(KEY, holder, nowUs, this::onGrant);
+    private void request(String holder) {
+        roleLeases.request(ROLE, holder, nowUs, this::onGrant);
     }
 
     private void onGrant(byte[] record) {
@@ -88,15 +88,15 @@
     @Test
     void aHolderThatComesBackWhileItsSuccessorIsWrittenIsNotRenewed() {
         run(3_000_000);
-        want("x");
+        request("x");
         run(500_000);
         assertEquals(List.of("x 1"), granted);
         run(4_000_000);
         stalled = true;
-        want("y");
+        request("y");
         run(100_000);
         assertEquals(1, stores.size(), "the successor is being written");
-        want("x");
+        request("x");
         run(400_000);
         assertEquals(List.of("x 1"), granted, "nobody is renewed meanwhile");
         stalled = false;
--- a/core/src/test/java/martenloom/core/registry/QuorumAcknowledgementTest.java
+++ b/core/src/test/java/martenloom/core/registry/QuorumAcknowledgementTest.java
@@ -8,27 +8,27 @@
 
 /** When a majority is said to know. */
 final class QuorumAcknowledgementTest {
-    private final List<Boolean> told = new ArrayList<>();
+    private final List<Boolean> outcomes = new ArrayList<>();
 
     @Test
     void aMajorityOfTheRosterDecidesOnce() {
-        var receipt = new QuorumAcknowledgement(List.of("a", "b", "c", "d"), told::add);
-        receipt.acknowledgedBy("a");
-        receipt.acknowledgedBy("b");
-        receipt.acknowledgedBy("b");
-        receipt.acknowledgedBy("stranger");
-        assertEquals(List.of(), told);
-        receipt.acknowledgedBy("c");
-        receipt.acknowledgedBy("d");
-        receipt.timedOut();
-        assertEquals(List.of(true), told);
+        var quorum = new QuorumAcknowledgement(List.of("a", "b", "c", "d"), outcomes::add);
+        quorum.acknowledgedBy("a");
+        quorum.acknowledgedBy("b");
+        quorum.acknowledgedBy("b");
+        quorum.acknowledgedBy("stranger");
+        assertEquals(List.of(), outcomes);
+        quorum.acknowledgedBy("c");
+        quorum.acknowledgedBy("d");
+        quorum.timedOut();
+        assertEquals(List.of(true), outcomes);
     }
 
     @Test
-    void lateReceiptsDoNotUndoAFailure() {
-        var receipt = new QuorumAcknowledgement(List.of("a"), told::add);
-        receipt.timedOut();
-        receipt.acknowledgedBy("a");
-        assertEquals(List.of(false), told);
+    void lateAcknowledgementsDoNotUndoATimeout() {
+        var quorum = new QuorumAcknowledgement(List.of("a"), outcomes::add);
+        quorum.timedOut();
+        quorum.acknowledgedBy("a");
+        assertEquals(List.of(false), outcomes);
     }
 }
--- a/core/src/test/java/martenloom/core/registry/RegistryTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryTest.java
@@ -53,13 +53,13 @@
      * One round of repair: the first sends its digests, the second its rows of the ranges that
      * differ.
      */
-    private static void repair(Registry a, Registry b, long now) {
-        b.answerDigests(new RecordReader(a.digests(), true), now)
-                .ifPresent(rows -> pass(rows, a, now));
+    private static void repair(Registry first, Registry second, long now) {
+        second.answerDigests(new RecordReader(first.digests(), true), now)
+                .ifPresent(rows -> pass(rows, first, now));
     }
 
     private boolean gone(Registry registry, String id) {
-        return registry.replica(id).map(r -> r.ended()).orElse(false);
+        return registry.replica(id).map(ReplicaRecord::ended).orElse(false);
     }
 
     @Test
--- a/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
+++ b/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
@@ -63,36 +63,43 @@
         }
 
         @Override
-        public byte[] read(String n) {
-            return now.get(n);
+        public byte[] read(String name) {
+            return now.get(name);
         }
 
         @Override
-        public void writeSynced(String n, byte[] b) {
+        public void writeSynced(String name, byte[] content) {
             if (refusedWrites-- > 0) {
                 throw new StorageException("write", "refused");
             }
             var used =
                     now.entrySet().stream()
-                            .filter(e -> !e.getKey().equals(n))
+                            .filter(e -> !e.getKey().equals(name))
                             .mapToInt(e -> e.getValue().length)
                             .sum();
-            if (used + b.length > freeBytes) {
-                apply(names -> names.put(n, Arrays.copyOf(b, Math.max(0, freeBytes - used))));
+            if (used + content.length > freeBytes) {
+                apply(
+                        names ->
+                                names.put(
+                                        name,
+                                        Arrays.copyOf(content, Math.max(0, freeBytes - used))));
                 throw new StorageException("write", "no space left");
             }
             if (steps + 1 >= killAtStep) {
-                apply(names -> names.put(n, Arrays.copyOf(b, b.length / 2)));
+                apply(names -> names.put(name, Arrays.copyOf(content, content.length / 2)));
             }
             step();
-            apply(names -> names.put(n, b));
-            lasting.computeIfPresent(n, (name, old) -> b);
+            apply(names -> names.put(name, content));
+            lasting.computeIfPresent(name, (unused, old) -> content);
         }
 
         @Override
-        public void rename(String a, String b) {
+        public void rename(String from, String to) {
             step();
-            apply(names -> Optional.ofNullable(names.remove(a)).ifPresent(x -> names.put(b, x)));
+            apply(
+                    names ->
+                            Optional.ofNullable(names.remove(from))
+                                    .ifPresent(content -> names.put(to, content)));
         }
 
         @Override
@@ -103,13 +110,15 @@
         }
 
         @Override
-        public void remove(String n) {
+        public void remove(String name) {
             step();
-            apply(names -> names.remove(n));
+            apply(names -> names.remove(name));
         }
 
-        private void losePower(Random rnd) {
-            sinceSync.stream().filter(x -> rnd.nextBoolean()).forEach(x -> x.accept(lasting));
+        private void losePower(Random random) {
+            sinceSync.stream()
+                    .filter(change -> random.nextBoolean())
+                    .forEach(change -> change.accept(lasting));
             now = new TreeMap<>(lasting);
             sinceSync.clear();
         }
@@ -120,23 +129,27 @@
         }
     }
 
-    private static byte[] b(String s) {
-        return s.getBytes(StandardCharsets.UTF_8);
+    private static int number(byte[] content) {
+        return Integer.parseInt(new String(content, StandardCharsets.UTF_8));
+    }
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
     @Test
-    void whatIsLeftOfAnUnfinishedWriteIsPassedOver() {
-        var f = new SimulatedFolder();
-        var s = new VersionedStore(f);
-        s.write(b("one"));
-        s.write(b("two"));
-        f.now.put("member-0000000000000003.aside", new byte[] {0, 0, 0, 9, 1});
-        var again = new VersionedStore(f);
-        assertArrayEquals(b("two"), again.load().get());
+    void whatIsLeftOfAnUnfinishedWriteIsIgnored() {
+        var folder = new SimulatedFolder();
+        var store = new VersionedStore(folder);
+        store.write(bytes("one"));
+        store.write(bytes("two"));
+        folder.now.put("member-0000000000000003.aside", new byte[] {0, 0, 0, 9, 1});
+        var again = new VersionedStore(folder);
+        assertArrayEquals(bytes("two"), again.load().get());
         assertFalse(again.isDamaged());
-        again.write(b("three"));
-        assertArrayEquals(b("three"), new VersionedStore(f).load().get());
-        assertEquals(1, f.names().size(), "it is written over");
+        again.write(bytes("three"));
+        assertArrayEquals(bytes("three"), new VersionedStore(folder).load().get());
+        assertEquals(1, folder.names().size(), "it is written over");
     }
 
     /**
@@ -144,33 +157,33 @@
      * not be taken instead.
      */
     @Test
-    void aNewestVersionThatIsNotWholeIsALostDiskUntilTheNextIsKept() {
-        var f = new SimulatedFolder();
-        var s = new VersionedStore(f);
-        s.write(b("one"));
-        var first = f.now.get(FIRST);
-        s.write(b("two"));
-        f.now.put(FIRST, first);
-        f.now.get(SECOND)[25 - 3] ^= 1;
-        var again = new VersionedStore(f);
+    void anIncompleteNewestVersionIsALostDiskUntilTheNextIsWritten() {
+        var folder = new SimulatedFolder();
+        var store = new VersionedStore(folder);
+        store.write(bytes("one"));
+        var first = folder.now.get(FIRST);
+        store.write(bytes("two"));
+        folder.now.put(FIRST, first);
+        folder.now.get(SECOND)[25 - 3] ^= 1;
+        var again = new VersionedStore(folder);
         assertTrue(again.load().isEmpty());
         assertTrue(again.isDamaged());
-        again.write(b("learned"));
-        var healed = new VersionedStore(f);
-        assertArrayEquals(b("learned"), healed.load().get());
+        again.write(bytes("learned"));
+        var healed = new VersionedStore(folder);
+        assertArrayEquals(bytes("learned"), healed.load().get());
         assertFalse(healed.isDamaged());
-        assertEquals(1, f.names().size());
+        assertEquals(1, folder.names().size());
     }
 
     @Test
-    void aVersionThatWasKeptAndIsGoneIsALostDisk() {
-        var f = new SimulatedFolder();
-        var s = new VersionedStore(f);
-        s.write(b("one"));
-        s.write(b("two"));
-        f.now.clear();
-        f.now.put("member-0000000000000003.aside", new byte[] {1});
-        var again = new VersionedStore(f);
+    void aVersionThatWasWrittenAndIsMissingIsALostDisk() {
+        var folder = new SimulatedFolder();
+        var store = new VersionedStore(folder);
+        store.write(bytes("one"));
+        store.write(bytes("two"));
+        folder.now.clear();
+        folder.now.put("member-0000000000000003.aside", new byte[] {1});
+        var again = new VersionedStore(folder);
         assertTrue(again.load().isEmpty());
         assertTrue(again.isDamaged(), "version 2 must have been there");
     }
@@ -180,22 +193,20 @@
      * over.
      */
     @Test
-    void noKillAndNoLossOfPowerForgetsWhatWasKeptOrLooksLikeDamage() {
-        var rnd = new Random(14);
+    void noKillAndNoLossOfPowerForgetsWhatWasWrittenOrLooksLikeDamage() {
+        var random = new Random(14);
         for (var round = 0; round < 4000; round++) {
-            var f = new SimulatedFolder();
+            var folder = new SimulatedFolder();
             var kept = 0;
             var tried = 0;
-            for (var life = 0; life < 4; life++) {
-                f.restart();
-                f.killAtStep = 1 + rnd.nextInt(14);
+            for (var incarnation = 0; incarnation < 4; incarnation++) {
+                folder.restart();
+                folder.killAtStep = 1 + random.nextInt(14);
                 try {
-                    var s = new VersionedStore(f);
-                    var found = s.load();
-                    assertFalse(s.isDamaged(), "round " + round);
-                    var at =
-                            found.map(x -> Integer.parseInt(new String(x, StandardCharsets.UTF_8)))
-                                    .orElse(0);
+                    var store = new VersionedStore(folder);
+                    var found = store.load();
+                    assertFalse(store.isDamaged(), "round " + round);
+                    var at = found.map(VersionedStoreTest::number).orElse(0);
                     assertTrue(
                             at >= kept && at <= tried,
                             "round " + round + ": found " + at + " of " + kept + " to " + tried);
@@ -203,12 +214,12 @@
                     tried = at;
                     for (var i = 0; i < 3; i++) {
                         tried++;
-                        s.write(b("" + tried));
+                        store.write(bytes("" + tried));
                         kept = tried;
                     }
                 } catch (SimulatedFolder.Killed killed) {
-                    if (rnd.nextBoolean()) {
-                        f.losePower(rnd);
+                    if (random.nextBoolean()) {
+                        folder.losePower(random);
                     }
                 }
             }
@@ -217,67 +228,68 @@
 
     @Test
     void oldVersionsGoAlsoAfterAKillBeforeTheirRemoval() {
-        var f = new SimulatedFolder();
-        var s = new VersionedStore(f);
-        s.write(b("one"));
-        f.restart();
-        f.killAtStep = 4;
-        assertThrows(SimulatedFolder.Killed.class, () -> s.write(b("two")));
-        assertEquals(2, f.names().size());
-        f.restart();
-        assertArrayEquals(b("two"), new VersionedStore(f).load().get());
-        assertEquals(List.of(SECOND), f.names());
+        var folder = new SimulatedFolder();
+        var store = new VersionedStore(folder);
+        store.write(bytes("one"));
+        folder.restart();
+        folder.killAtStep = 4;
+        assertThrows(SimulatedFolder.Killed.class, () -> store.write(bytes("two")));
+        assertEquals(2, folder.names().size());
+        folder.restart();
+        assertArrayEquals(bytes("two"), new VersionedStore(folder).load().get());
+        assertEquals(List.of(SECOND), folder.names());
     }
 
     @Test
     void aFullDiskKeepsTheNewestVersion() {
-        var f = new SimulatedFolder();
-        var s = new VersionedStore(f);
-        s.write(b("one"));
-        f.freeBytes = 30;
+        var folder = new SimulatedFolder();
+        var store = new VersionedStore(folder);
+        store.write(bytes("one"));
+        folder.freeBytes = 30;
         assertThrows(
                 MartenloomException.class,
-                () -> s.write(b("a longer version than there is space for")));
-        var again = new VersionedStore(f);
-        assertArrayEquals(b("one"), again.load().get());
-        f.freeBytes = 200;
-        again.write(b("a longer version than there is space for"));
-        assertEquals(1, f.names().size());
+                () -> store.write(bytes("a longer version than there is space for")));
+        var again = new VersionedStore(folder);
+        assertArrayEquals(bytes("one"), again.load().get());
+        folder.freeBytes = 200;
+        again.write(bytes("a longer version than there is space for"));
+        assertEquals(1, folder.names().size());
     }
 
     @Test
     void anEmptyFolderGivesNothingAndARefusedWriteIsTriedAgain() throws Exception {
-        var f = new SimulatedFolder();
-        assertTrue(new VersionedStore(f).load().isEmpty());
-        f.refusedWrites = 2;
+        var folder = new SimulatedFolder();
+        assertTrue(new VersionedStore(folder).load().isEmpty());
+        folder.refusedWrites = 2;
         var done = new java.util.concurrent.CountDownLatch(1);
-        new VersionedStore(f).writeAsync(() -> b("late"), done::countDown);
+        new VersionedStore(folder).writeAsync(() -> bytes("late"), done::countDown);
         assertTrue(done.await(10, java.util.concurrent.TimeUnit.SECONDS));
-        assertArrayEquals(b("late"), new VersionedStore(f).load().get());
+        assertArrayEquals(bytes("late"), new VersionedStore(folder).load().get());
     }
 
     @Test
-    void aNoteIsKeptBesideTheMemberStateAndATornOneIsNone() throws Exception {
-        var f = new SimulatedFolder();
-        var s = new VersionedStore(f);
-        s.write(b("one"));
+    void aCheckpointIsWrittenBesideTheMemberStateAndATornOneIsNone() throws Exception {
+        var folder = new SimulatedFolder();
+        var store = new VersionedStore(folder);
+        store.write(bytes("one"));
         var done = new java.util.concurrent.CountDownLatch(1);
-        s.writeCheckpointAsync("replicas", b("who"));
-        s.writeAsync(() -> b("two"), done::countDown);
+        store.writeCheckpointAsync("replicas", bytes("who"));
+        store.writeAsync(() -> bytes("two"), done::countDown);
         assertTrue(done.await(10, java.util.concurrent.TimeUnit.SECONDS));
-        assertArrayEquals(b("who"), new VersionedStore(f).readCheckpoint("replicas").get());
-        assertArrayEquals(b("two"), new VersionedStore(f).load().get());
-        f.now.put("replicas", new byte[] {1, 2, 3});
-        assertTrue(new VersionedStore(f).readCheckpoint("replicas").isEmpty());
+        assertArrayEquals(
+                bytes("who"), new VersionedStore(folder).readCheckpoint("replicas").get());
+        assertArrayEquals(bytes("two"), new VersionedStore(folder).load().get());
+        folder.now.put("replicas", new byte[] {1, 2, 3});
+        assertTrue(new VersionedStore(folder).readCheckpoint("replicas").isEmpty());
     }
 
     @Test
     void aRealFolderKeepsOneFileAVersion(@TempDir Path dir) {
-        var s = new VersionedStore(new FileSystemFolder(dir.resolve("a").toString()));
-        s.write(b("one"));
-        s.write(b("two"));
-        var f = new FileSystemFolder(dir.resolve("a").toString());
-        assertEquals(1, f.names().size());
-        assertArrayEquals(b("two"), new VersionedStore(f).load().get());
+        var store = new VersionedStore(new FileSystemFolder(dir.resolve("a").toString()));
+        store.write(bytes("one"));
+        store.write(bytes("two"));
+        var folder = new FileSystemFolder(dir.resolve("a").toString());
+        assertEquals(1, folder.names().size());
+        assertArrayEquals(bytes("two"), new VersionedStore(folder).load().get());
     }
 }
