--- a/edge/src/main/java/martenloom/edge/replica/RoutingView.java
+++ b/edge/src/main/java/martenloom/edge/replica/RoutingView.java
@@ -11,6 +11,19 @@
     /** The routes and services; empty, with revision 0, before the first configuration. */
     RouteTable table();
 
-    /** The zones from which requests are kept away. */
-    Set<String> evacuated();
+    /** The zones that are evacuated: requests are withheld from them. */
+    Set<String> evacuatedZones();
+
+    /** Whether a replica is an engine that serves a model. */
+    default boolean servesModel(ReplicaEndpoint replica, String model) {
+        var service = table().services().get(replica.service());
+        return service != null && service.inferenceEngine() && service.model().equals(model);
+    }
+
+    /** Whether a replica takes requests, as far as the registry and the evacuations go. */
+    default boolean isInService(ReplicaEndpoint replica) {
+        return replica.isAvailable()
+                && !replica.isDeregistered()
+                && !evacuatedZones().contains(replica.zone());
+    }
 }
