--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -111,7 +111,7 @@
         shutdown = new GracefulShutdown(loop, settings, chain, forwarder, this::hasCallers);
         var routes = new CompiledRoutes(chain);
         placement = new PlacementService(settings, chain, registry, routes);
-        chain.onSurvey(() -> placement.current().encode());
+        chain.setPlacementSurvey(() -> placement.current().encode());
         roleLeases = new RoleLeaseService(chain, chainDriver, Clocks::nowUs);
         leaseRelay = new LeaseRelay(chain, roleLeases, peers, edges);
         jobClock = new JobClockUpdater(chain, chainDriver);
@@ -163,7 +163,7 @@
                         InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
         controlServer.listen();
-        peers.dialAll(chain.memberState().state.roster().members());
+        peers.dialAll(chain.memberState().state().roster().members());
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
         Clocks.every(loop, PUBLISH_US, updates::publish);
@@ -200,7 +200,7 @@
      */
     private boolean acceptsHeartbeats() {
         var nowUs = Clocks.nowUs();
-        return chain.staleUs(nowUs) < CONTACT_LOST_US || edges.isReliedOn(nowUs);
+        return chain.stalenessUs(nowUs) < CONTACT_LOST_US || edges.isReliedOn(nowUs);
     }
 
     // ---- time
@@ -234,7 +234,7 @@
     @Override
     public void onRecord(PeerLink link, byte[] record) {
         var type = record[0];
-        if (type <= ChainMember.LAST_TYPE) {
+        if (type <= ChainMember.HIGHEST_MESSAGE_TYPE) {
             chainDriver.onRecord(link.peer(), record);
             return;
         }
--- a/core/src/main/java/martenloom/core/admin/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -122,12 +122,12 @@
     private String chainState(long nowUs) {
         return String.format(
                 "mode %s view %d.%s head %s chain %s stale %d ms\nroster %s\n",
-                chain.mode(),
-                chain.view().n(),
-                chain.view().who(),
+                chain.role().label(),
+                chain.view().number(),
+                chain.view().member(),
                 chain.head(),
                 chain.chain(),
-                chain.staleUs(nowUs) / US_PER_MS,
+                chain.stalenessUs(nowUs) / US_PER_MS,
                 chain.committed().roster().members());
     }
 
--- a/core/src/main/java/martenloom/core/driver/ChainDriver.java
+++ b/core/src/main/java/martenloom/core/driver/ChainDriver.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import martenloom.common.clock.Clocks;
 import martenloom.common.log.RingLog;
+import martenloom.core.chain.ChainEffect;
 import martenloom.core.chain.ChainMember;
 import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.peer.CorePeerLinks;
@@ -55,7 +56,7 @@
     public void submit(StampedCommand command, BiConsumer<ResultCode, String> reply) {
         var request = ++lastRequest;
         callers.put(request, reply);
-        chain.onAsk(Clocks.nowUs(), request, command);
+        chain.submit(Clocks.nowUs(), request, command);
         loop.post(this::carryOut);
     }
 
@@ -66,42 +67,44 @@
 
     /** A record of the chain has come in from another member. */
     public void onRecord(String from, byte[] record) {
-        chain.onRecord(Clocks.nowUs(), from, record);
+        chain.onMessage(Clocks.nowUs(), from, record);
         carryOut();
     }
 
     /** Lets the chain member see the time. */
     public void tick(long nowUs) {
-        chain.onKnown(peers.dialed());
+        chain.setKnownMembers(peers.dialed());
         chain.onTick(nowUs);
         carryOut();
     }
 
     /** Carries out everything that the chain member asks for at the moment. */
     public void carryOut() {
-        for (var outputs = chain.drain(); !outputs.isEmpty(); outputs = chain.drain()) {
+        for (var outputs = chain.drainEffects();
+                !outputs.isEmpty();
+                outputs = chain.drainEffects()) {
             outputs.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainMember.Command output) {
-        if (output instanceof ChainMember.Send send) {
+    private void carryOut(ChainEffect output) {
+        if (output instanceof ChainEffect.SendMessage send) {
             peers.dial(send.to());
             peers.send(send.to(), send.record());
-        } else if (output instanceof ChainMember.Store write) {
+        } else if (output instanceof ChainEffect.PersistState write) {
             store(write);
-        } else if (output instanceof ChainMember.Answer answer) {
+        } else if (output instanceof ChainEffect.CompleteRequest answer) {
             Optional.ofNullable(callers.remove(answer.request()))
                     .ifPresent(reply -> reply.accept(answer.code(), answer.text()));
-        } else if (output instanceof ChainMember.Committed committed) {
+        } else if (output instanceof ChainEffect.StateCommitted committed) {
             onCommitted(committed.state());
         }
     }
 
-    private void store(ChainMember.Store write) {
+    private void store(ChainEffect.PersistState write) {
         loop.startExternalTask();
         store.writeAsync(
-                () -> write.memberState().bytes(),
+                () -> write.memberState().encode(),
                 () -> {
                     loop.execute(() -> onStored(write.token()));
                     loop.completeExternalTask();
@@ -109,7 +112,7 @@
     }
 
     private void onStored(long token) {
-        chain.onStored(Clocks.nowUs(), token);
+        chain.onPersisted(Clocks.nowUs(), token);
         carryOut();
     }
 
--- a/core/src/main/java/martenloom/core/driver/ChainMemberFactory.java
+++ b/core/src/main/java/martenloom/core/driver/ChainMemberFactory.java
@@ -6,7 +6,9 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
+import martenloom.core.chain.Ballot;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.peer.SeedNodes;
 import martenloom.core.state.ClusterState;
 import martenloom.core.storage.VersionedStore;
@@ -29,17 +31,17 @@
      * @param onDisk the version that the store was loaded with
      */
     public ChainMember create(Optional<byte[]> onDisk) {
-        var memberState = onDisk.map(ChainMember.MemberState::of);
+        var memberState = onDisk.map(PersistentMemberState::decode);
         if (memberState.isEmpty() && mayFound()) {
             memberState = Optional.of(founded());
-            store.write(memberState.get().bytes());
+            store.write(memberState.get().encode());
         }
         RingLog.debug(
                 "core "
                         + settings.nodeName()
                         + " starts, disk "
                         + memberState
-                                .map(kept -> "edition " + kept.state.edition())
+                                .map(kept -> "edition " + kept.state().edition())
                                 .orElse("empty"));
         var incarnation = new SecureRandom().nextLong();
         var chain =
@@ -49,8 +51,8 @@
                         memberState,
                         ownNetworkFirst(),
                         Clocks.nowUs());
-        chain.onAway(store.downtimeUs());
-        chain.onLeastRoster(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
+        chain.setDowntimeUs(store.downtimeUs());
+        chain.setMinimumRosterSize(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
         return chain;
     }
 
@@ -60,11 +62,9 @@
                 && SeedNodes.ips(settings).contains(settings.ipAddress());
     }
 
-    private ChainMember.MemberState founded() {
-        return new ChainMember.MemberState(
-                ChainMember.Ballot.ZERO,
-                ChainMember.Ballot.ZERO,
-                ClusterState.founded(SeedNodes.ips(settings)));
+    private PersistentMemberState founded() {
+        return new PersistentMemberState(
+                Ballot.ZERO, Ballot.ZERO, ClusterState.founded(SeedNodes.ips(settings)));
     }
 
     /**
--- a/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
+++ b/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
@@ -47,7 +47,7 @@
      * edge learns that from every answer to a renewal, and chooses another home.
      */
     public void sendComplete(String edgeIp, PeerLink link) {
-        if (!chain.fresh(Clocks.nowUs())) {
+        if (!chain.isFresh(Clocks.nowUs())) {
             return;
         }
         var state = chain.committed();
--- a/core/src/main/java/martenloom/core/edge/HomeFreshness.java
+++ b/core/src/main/java/martenloom/core/edge/HomeFreshness.java
@@ -37,7 +37,7 @@
 
     /** How long ago a majority was last known to hold together. */
     long stalenessUs(long nowUs) {
-        return shuttingDown.getAsBoolean() ? SHUTDOWN_STALENESS_US : chain.staleUs(nowUs);
+        return shuttingDown.getAsBoolean() ? SHUTDOWN_STALENESS_US : chain.stalenessUs(nowUs);
     }
 
     /** The edition of the committed state. */
--- a/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
+++ b/core/src/main/java/martenloom/core/forwarding/CommandForwarder.java
@@ -48,7 +48,7 @@
 
     @Override
     public void submit(StampedCommand command, BiConsumer<ResultCode, String> reply) {
-        if (chain.heading()) {
+        if (chain.isHead()) {
             localChain.submit(command, reply);
             return;
         }
@@ -94,6 +94,6 @@
 
     /** Whether this daemon was in contact with a majority a moment ago. */
     public boolean isInContact() {
-        return chain.fresh(Clocks.nowUs());
+        return chain.isFresh(Clocks.nowUs());
     }
 }
--- a/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
+++ b/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
@@ -26,7 +26,7 @@
 
     /** Writes the clock if this member is the head and the time has come. */
     public void tick(long nowUs) {
-        if (chain.heading()
+        if (chain.isHead()
                 && chain.committed().jobs().live() > 0
                 && nowUs - writtenUs > INTERVAL_US) {
             writtenUs = nowUs;
--- a/core/src/main/java/martenloom/core/lease/LeaseRelay.java
+++ b/core/src/main/java/martenloom/core/lease/LeaseRelay.java
@@ -54,7 +54,7 @@
             }
             forwardedUs.put(role, nowUs);
         }
-        if (chain.heading()) {
+        if (chain.isHead()) {
             edges.link(ipOf(candidate))
                     .ifPresent(link -> roleLeases.request(role, candidate, sentAtUs, link::send));
         } else {
--- a/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
+++ b/core/src/main/java/martenloom/core/membership/GracefulShutdown.java
@@ -8,6 +8,7 @@
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.core.chain.ChainMember;
+import martenloom.core.chain.MemberRole;
 import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.state.Command.MarkDeparting;
 import martenloom.core.state.Command.Urgency;
@@ -87,7 +88,7 @@
                 () -> {
                     RingLog.debug("graceful shutdown begins");
                     begun = true;
-                    chain.onLeave(Clocks.nowUs());
+                    chain.startLeaving(Clocks.nowUs());
                     step(done);
                 });
         try {
@@ -125,8 +126,8 @@
      * Not before the chain can do without this member; then when no caller waits, or soon after.
      */
     private boolean mayEnd(long nowUs) {
-        var learning = chain.mode() == ChainMember.Mode.LEARNING;
-        if (releasedUs == 0 && (accepted || learning) && chain.released(nowUs)) {
+        var learning = chain.role() == MemberRole.LEARNER;
+        if (releasedUs == 0 && (accepted || learning) && chain.mayTerminate(nowUs)) {
             releasedUs = nowUs;
         }
         return releasedUs > 0
--- a/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
+++ b/core/src/main/java/martenloom/core/peer/CorePeerLinks.java
@@ -105,7 +105,7 @@
 
     /** Forgets who is neither in the roster nor a seed and was not reached for a while. */
     public void forgetUnreachable(long nowUs) {
-        var needed = new TreeSet<>(chain.memberState().state.roster().members());
+        var needed = new TreeSet<>(chain.memberState().state().roster().members());
         needed.addAll(chain.committed().roster().members());
         needed.addAll(SeedNodes.ips(settings));
         for (var ip : List.copyOf(links.keySet())) {
--- a/core/src/main/java/martenloom/core/placement/PlacementService.java
+++ b/core/src/main/java/martenloom/core/placement/PlacementService.java
@@ -69,8 +69,8 @@
      * order of the operator, a crash, a loss.
      */
     public void reportExposure(long nowUs) {
-        if (!chain.heading()
-                || nowUs - chain.headingSinceUs() < SETTLING_US
+        if (!chain.isHead()
+                || nowUs - chain.headSinceUs() < SETTLING_US
                 || chain.committed().configuration().revision() == 0) {
             return;
         }
--- a/core/src/main/java/martenloom/core/state/JobClientRules.java
+++ b/core/src/main/java/martenloom/core/state/JobClientRules.java
@@ -28,7 +28,7 @@
         if (known.isPresent()) {
             return known.get().digest().equals(job.digest())
                     ? CommandResult.unchanged(JobJson.render(known.get(), table.clockAt(atUs)))
-                    : conflict("job '" + job.id() + "' is known with other content");
+                    : CommandResult.conflict("job '" + job.id() + "' is known with other content");
         }
         var bytes = job.sizeBytes();
         if (bytes > JobTable.MAX_JOB_BYTES) {
@@ -74,7 +74,8 @@
 
     private CommandResult<JobTable> result(Job job) {
         if (job.state() != JobState.DONE) {
-            return conflict(standing(job) + (job.reason().isEmpty() ? "" : ": " + job.reason()));
+            return CommandResult.conflict(
+                    JobReports.standing(job) + (job.reason().isEmpty() ? "" : ": " + job.reason()));
         }
         return job.confirmed()
                 ? CommandResult.refused(
@@ -85,7 +86,7 @@
 
     private CommandResult<JobTable> confirm(Job job) {
         if (job.state() != JobState.DONE) {
-            return conflict(standing(job));
+            return CommandResult.conflict(JobReports.standing(job));
         }
         if (job.confirmed()) {
             return CommandResult.unchanged("");
@@ -104,16 +105,9 @@
         }
         var live = job.state().isLive();
         if (!live || job.state() == JobState.RUNNING && !job.retriable()) {
-            return conflict(standing(job) + (live ? " and may not be taken back" : ""));
+            return CommandResult.conflict(
+                    JobReports.standing(job) + (live ? " and may not be taken back" : ""));
         }
         return table.with(table.ended(job, JobState.CANCELLED, "cancelled", atUs), atUs, "");
     }
-
-    private static String standing(Job job) {
-        return "job '" + job.id() + "' is " + job.state().label();
-    }
-
-    private static CommandResult<JobTable> conflict(String reason) {
-        return CommandResult.refused(ResultCode.CONFLICT, reason);
-    }
 }
