--- a/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
+++ b/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
@@ -46,7 +46,7 @@
         return String.join(
                 ",",
                 EdgeDirectory.choose(ready, zone, region, homes).stream()
-                        .map(e -> e.ip())
+                        .map(edge -> edge.ip())
                         .toList());
     }
 
--- a/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
@@ -65,7 +65,7 @@
     private static byte[] timeless(byte[] note) {
         var in = new RecordReader(note, false);
         var out = new RecordWriter().i32(in.i32()).i32(in.i32());
-        var replicas = in.list(x -> ReplicaRecord.read(x, 0));
+        var replicas = in.list(row -> ReplicaRecord.read(row, 0));
         for (var replica : replicas) {
             replica.setWarmFromUs(0);
             replica.setLastHeartbeatUs(0);
@@ -74,7 +74,7 @@
                 replica.setDrainDeadlineUs(0);
             }
         }
-        return out.list(replicas, (o, replica) -> replica.write(o, 0)).bytes();
+        return out.list(replicas, (row, replica) -> replica.write(row, 0)).bytes();
     }
 
     @Test
--- a/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
+++ b/core/src/test/java/martenloom/core/storage/VersionedStoreTest.java
@@ -74,8 +74,8 @@
             }
             var used =
                     now.entrySet().stream()
-                            .filter(e -> !e.getKey().equals(name))
-                            .mapToInt(e -> e.getValue().length)
+                            .filter(entry -> !entry.getKey().equals(name))
+                            .mapToInt(entry -> entry.getValue().length)
                             .sum();
             if (used + content.length > freeBytes) {
                 apply(
