--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -1,17 +1,9 @@
 package martenloom.core;
 
 import io.activej.eventloop.Eventloop;
-import io.activej.http.HttpServer;
-import io.activej.promise.Promise;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.security.SecureRandom;
-import java.time.Duration;
-import java.util.Comparator;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Optional;
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
@@ -20,19 +12,21 @@
 import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.link.PeerLinks;
 import martenloom.common.log.RingLog;
-import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 import martenloom.core.admin.ShellQueries;
 import martenloom.core.api.ControlApi;
-import martenloom.core.chain.Ballot;
-import martenloom.core.chain.ChainEffect;
+import martenloom.core.api.ControlServer;
+import martenloom.core.api.ControlServices;
 import martenloom.core.chain.ChainMember;
-import martenloom.core.chain.PersistentMemberState;
 import martenloom.core.configuration.CompiledRoutes;
+import martenloom.core.driver.ChainDriver;
+import martenloom.core.driver.ChainMemberFactory;
 import martenloom.core.edge.ConfigurationPublisher;
 import martenloom.core.edge.EdgeLeaseRenewals;
 import martenloom.core.edge.EdgeLeaseResponder;
 import martenloom.core.edge.EdgeLinks;
+import martenloom.core.edge.EdgeSynchronizer;
+import martenloom.core.edge.HomeFreshness;
 import martenloom.core.forwarding.CommandForwarder;
 import martenloom.core.jobs.JobClockUpdater;
 import martenloom.core.jobs.RegionJobListing;
@@ -41,316 +35,226 @@
 import martenloom.core.load.LoadPublisher;
 import martenloom.core.membership.GracefulShutdown;
 import martenloom.core.peer.CorePeerLinks;
+import martenloom.core.peer.PeerRegions;
 import martenloom.core.peer.PeerRequests;
 import martenloom.core.placement.PlacementService;
+import martenloom.core.registry.FleetSize;
 import martenloom.core.registry.Registry;
 import martenloom.core.registry.RegistryCheckpoint;
+import martenloom.core.registry.ReplicaEndAnnouncer;
 import martenloom.core.registry.ReplicaUpdatePublisher;
-import martenloom.core.state.ClusterState;
 import martenloom.core.storage.StorageFolder;
 import martenloom.core.storage.VersionedStore;
 import martenloom.core.warmup.WarmupPermitLender;
+import martenloom.core.warmup.WarmupPermits;
+import martenloom.core.warmup.WarmupRates;
 
 /**
- * The core program: puts the chain, its disk, the registry and the control API on one reactor,
- * passes every record to the part that it is for, and turns the clock of the parts. The chain's
- * commands are carried out here and nowhere else. Runs on the reactor thread, but for {@link
- * #leave}.
+ * The core program: wires its parts together on one reactor, passes every record to the part that
+ * it is for, and lets the parts see the time. Runs on the reactor thread, but for {@link
+ * #shutDown}.
  */
 public final class CoreDaemon implements PeerLinkHandler {
     private static final long TICK_US = 50_000;
-    private static final long FLOOD_US = 100_000;
-    private static final long DIGEST_US = 500_000;
-    private static final long SUM_US = 100_000;
+    private static final long PUBLISH_US = 100_000;
+    private static final long REPAIR_US = 500_000;
+    private static final long LOAD_US = 100_000;
+    private static final long FLUSH_TIMEOUT_MS = 300;
+    private static final long US_PER_MS = 1_000;
 
-    private static final long FLUSH_MS = 300;
-
-    /** Without word of a majority for this long, a member may be cut off from the others. */
-    private static final long CONTACT_US = 1_200_000;
-
-    private static final Duration KEEP_ALIVE = Duration.ofSeconds(30);
-    private static final int MOST_BODY = 16 << 20;
+    /** Without proof of a majority for this long, a member may be cut off from the others. */
+    private static final long CONTACT_LOST_US = 1_200_000;
 
     private final Settings settings;
     private final Eventloop loop;
     private final VersionedStore store;
     private final ChainMember chain;
+    private final ChainDriver chainDriver;
     private final Registry registry;
-    private final RegistryCheckpoint memory;
+    private final FleetSize fleetSize = new FleetSize();
+    private final RegistryCheckpoint checkpoint;
+    private final PeerRegions regions;
     private final CorePeerLinks peers;
     private final PeerRequests peerRequests = new PeerRequests();
-    private final EdgeLinks homes = new EdgeLinks();
-    private final CompiledRoutes routes = new CompiledRoutes();
-    private final CommandForwarder orders;
-    private final GracefulShutdown leave;
-    private final PlacementService placement;
-    private final RoleLeaseService duties;
-    private final LeaseRelay dutyRelay;
-    private final JobClockUpdater jobClock;
-    private final ReplicaUpdatePublisher replicaNews;
-    private final LoadPublisher loads;
+    private final CommandForwarder forwarder;
+    private final ReplicaUpdatePublisher updates;
+    private final EdgeLinks edges = new EdgeLinks();
     private final ConfigurationPublisher configurations;
-    private final WarmupPermitLender coldSends;
-    private final EdgeLeaseRenewals renewals;
+    private final EdgeSynchronizer synchronizer;
+    private final EdgeLeaseRenewals edgeLeases;
+    private final RoleLeaseService roleLeases;
+    private final LeaseRelay leaseRelay;
+    private final WarmupPermits warmupPermits;
+    private final JobClockUpdater jobClock;
+    private final LoadPublisher load;
+    private final PlacementService placement;
     private final ShellQueries shellQueries;
+    private final GracefulShutdown shutdown;
+    private final ControlServer controlServer;
 
+    /** A daemon that does nothing until {@link #start} is called. */
     public CoreDaemon(Settings settings, Eventloop loop, StorageFolder folder) {
-        var startUs = Clocks.nowUs();
+        var startedUs = Clocks.nowUs();
         this.settings = settings;
         this.loop = loop;
         store = new VersionedStore(folder);
-        var kept = store.load();
-        chain = chain(kept.map(PersistentMemberState::decode));
-        registry = new Registry(settings.heartbeatIntervalMs() * 1000L);
-        memory = new RegistryCheckpoint(settings, store, registry);
-        peers = new CorePeerLinks(loop, settings, chain, memory, this);
-        orders = new CommandForwarder(loop, settings, chain, peers, peerRequests, this::carryOut);
-        leave = new GracefulShutdown(loop, settings, chain, orders::submit, orders::owesAnswers);
-        placement = new PlacementService(settings, chain, registry, routes::of);
-        chain.setPlacementSurvey(() -> placement.now().encode());
-        duties = new RoleLeaseService(chain, orders::submitLocally, Clocks::nowUs);
-        dutyRelay = new LeaseRelay(chain, duties, peers, homes);
-        jobClock = new JobClockUpdater(chain, orders);
-        replicaNews =
-                new ReplicaUpdatePublisher(
-                        loop, settings, chain, registry, peers, peerRequests, homes);
-        loads = new LoadPublisher(settings, peers, homes);
-        configurations = new ConfigurationPublisher(chain, homes);
-        var firstStart = kept.isEmpty() && settings.bootstrap();
-        coldSends =
-                new WarmupPermitLender(
-                        settings, chain, registry, routes, memory, peers, homes, firstStart);
-        var regionJobs = new RegionJobListing(chain, routes);
-        var news =
-                new EdgeLeaseResponder(
-                        chain, registry, memory, peers, regionJobs, coldSends, leave, startUs);
-        renewals =
-                new EdgeLeaseRenewals(
-                        registry, homes, configurations, news, regionJobs, replicaNews, dutyRelay);
-        shellQueries = new ShellQueries(settings, chain, registry, placement, homes);
-    }
-
-    /** The chain on what the disk holds; a founder with an empty disk begins a new state. */
-    private ChainMember chain(Optional<PersistentMemberState> onDisk) {
-        var disk = onDisk;
-        if (disk.isEmpty() && !store.isDamaged() && settings.bootstrap() && founder()) {
-            disk = Optional.of(founded());
-            store.write(disk.get().encode());
-        }
-        RingLog.debug(
-                "core "
-                        + settings.nodeName()
-                        + " starts, disk "
-                        + disk.map(member -> "edition " + member.state().edition())
-                                .orElse("empty"));
-        var life = new SecureRandom().nextLong();
-        var core = new ChainMember(settings.ipAddress(), life, disk, nearness(), Clocks.nowUs());
-        core.setDowntimeUs(store.downtimeUs());
-        core.setMinimumRosterSize(2 * Math.max(1, settings.toleratedMachineFailures()) + 1);
-        return core;
+        var onDisk = store.load();
+        var firstStart = onDisk.isEmpty() && settings.bootstrap();
+        chain = new ChainMemberFactory(settings, store).create(onDisk);
+        registry = new Registry(settings.heartbeatIntervalMs() * US_PER_MS);
+        checkpoint = new RegistryCheckpoint(settings, store, registry, fleetSize);
+        regions = new PeerRegions(settings, chain);
+        peers = new CorePeerLinks(loop, settings, chain, fleetSize, regions, this);
+        configurations = new ConfigurationPublisher(chain, edges);
+        chainDriver = new ChainDriver(loop, chain, store, peers, configurations::onCommitted);
+        forwarder = new CommandForwarder(loop, chain, peers, peerRequests, chainDriver);
+        shutdown = new GracefulShutdown(loop, settings, chain, forwarder, this::hasCallers);
+        var routes = new CompiledRoutes(chain);
+        placement = new PlacementService(settings, chain, registry, routes);
+        chain.setPlacementSurvey(() -> placement.current().encode());
+        roleLeases = new RoleLeaseService(chain, chainDriver, Clocks::nowUs);
+        leaseRelay = new LeaseRelay(chain, roleLeases, peers, edges);
+        jobClock = new JobClockUpdater(chain, chainDriver);
+        updates = new ReplicaUpdatePublisher(registry, peers, edges);
+        load = new LoadPublisher(settings, peers, regions, edges);
+        synchronizer = new EdgeSynchronizer(registry, edges, configurations);
+        warmupPermits = new WarmupPermits(Clocks.nowUs(), firstStart);
+        edgeLeases = edgeLeases(startedUs, routes);
+        shellQueries = new ShellQueries(settings, chain, registry, placement, edges);
+        controlServer = controlServer(routes);
     }
 
-    private boolean founder() {
-        return CorePeerLinks.seedIps(settings).contains(settings.ipAddress());
+    private EdgeLeaseRenewals edgeLeases(long startedUs, CompiledRoutes routes) {
+        var freshness =
+                new HomeFreshness(chain, shutdown::hasBegun, startedUs, checkpoint.isRestored());
+        var rates = new WarmupRates(settings, registry, routes);
+        var lender =
+                new WarmupPermitLender(settings, rates, fleetSize, regions, edges, warmupPermits);
+        var regionJobs = new RegionJobListing(chain, routes);
+        var responder =
+                new EdgeLeaseResponder(freshness, registry, fleetSize, peers, regionJobs, lender);
+        return new EdgeLeaseRenewals(
+                registry, synchronizer, responder, regionJobs, updates, leaseRelay);
     }
 
-    private PersistentMemberState founded() {
-        return new PersistentMemberState(
-                Ballot.ZERO, Ballot.ZERO, ClusterState.founded(CorePeerLinks.seedIps(settings)));
+    private ControlServer controlServer(CompiledRoutes routes) {
+        var ends = new ReplicaEndAnnouncer(loop, chain, registry, peers, peerRequests, updates);
+        var services =
+                new ControlServices(
+                        loop,
+                        settings,
+                        chain,
+                        routes,
+                        registry,
+                        regions,
+                        forwarder,
+                        ends,
+                        this::acceptsHeartbeats);
+        return new ControlServer(loop, settings, new ControlApi(services), shutdown::hasBegun);
     }
 
-    /**
-     * Members of our own zone come first down the chain, so that it crosses between regions as
-     * seldom as it can.
-     */
-    private Comparator<String> nearness() {
-        var network = settings.ipAddress().substring(0, settings.ipAddress().lastIndexOf('.') + 1);
-        return Comparator.<String, Boolean>comparing(member -> !member.startsWith(network))
-                .thenComparing(member -> member);
-    }
+    // ---- start and end
 
+    /** Opens the listening sockets and the links, and starts the timers. */
     public void start() throws IOException {
         PeerLinks.listen(
                 loop,
                 new InetSocketAddress(
                         InetAddress.getByName(settings.ipAddress()), settings.firstInternalPort()),
                 this);
-        listenForCallers();
+        controlServer.listen();
         peers.dialAll(chain.memberState().state().roster().members());
         peers.dialSeeds();
         Clocks.every(loop, TICK_US, this::tick);
-        Clocks.every(loop, FLOOD_US, replicaNews::flood);
-        Clocks.every(loop, DIGEST_US, this::mend);
-        Clocks.every(loop, SUM_US, loads::publish);
-        RingLog.info(
-                "core "
-                        + settings.nodeName()
-                        + " ready at "
-                        + settings.requiredListenAddress("ControlPlane"));
-    }
-
-    private void listenForCallers() throws IOException {
-        var controlApi =
-                new ControlApi(
-                        loop,
-                        settings,
-                        registry,
-                        this::acceptsHeartbeats,
-                        orders::submit,
-                        replicaNews::tellMajority,
-                        () -> routes.of(chain.committed()),
-                        chain::committed,
-                        peers::regionOutside,
-                        orders::inTouch);
-        var addresses = new LinkedHashSet<InetSocketAddress>();
-        addresses.add(IpPort.parse("ControlPlane", settings.requiredListenAddress("ControlPlane")));
-        if (settings.listenAddresses().containsKey("Directory")) {
-            addresses.add(IpPort.parse("Directory", settings.requiredListenAddress("Directory")));
-        }
-        HttpServer.builder(
-                        loop,
-                        request ->
-                                leave.begun()
-                                        ? Promise.of(GracefulShutdown.goElsewhere())
-                                        : controlApi.serve(request))
-                .withListenAddresses(List.copyOf(addresses))
-                .withKeepAliveTimeout(KEEP_ALIVE)
-                .withMaxBodySize(MOST_BODY)
-                .build()
-                .listen();
+        Clocks.every(loop, PUBLISH_US, updates::publish);
+        Clocks.every(loop, REPAIR_US, this::repair);
+        Clocks.every(loop, LOAD_US, load::publish);
+        RingLog.info("core " + settings.nodeName() + " ready at " + controlServer.address());
     }
 
+    /** Closes the links to other core daemons for good. */
     public void stop() {
         RingLog.debug("core stops");
         peers.stop();
     }
 
     /**
-     * Called from another thread at SIGTERM; returns when the process may end, and says whether the
-     * chain does without it.
+     * Shuts down gracefully; called from another thread at SIGTERM. Returns when the process may
+     * end, and whether the chain does without this member.
      */
-    public boolean leave() {
-        var inOrder = leave.run();
-        store.flush(FLUSH_MS);
-        return inOrder;
+    public boolean shutDown() {
+        var released = shutdown.awaitEnd();
+        store.flush(FLUSH_TIMEOUT_MS);
+        return released;
+    }
+
+    private boolean hasCallers() {
+        return chainDriver.hasCallers() || !peerRequests.isEmpty();
     }
 
     /**
      * Whether a heartbeat taken here reaches anybody: this member is in contact with a majority, or
      * an edge relies on it. A member that is cut off from all of them refuses, so that its replicas
-     * report to another daemon before they are taken for silent there; in a zone that is cut off as
-     * a whole, the edges of the zone still need what is taken here.
+     * report to another daemon before they are marked as unreachable there; in a zone that is cut
+     * off as a whole, the edges of the zone still need what is taken here.
      */
     private boolean acceptsHeartbeats() {
-        var now = Clocks.nowUs();
-        return chain.stalenessUs(now) < CONTACT_US || homes.reliedOn(now);
+        var nowUs = Clocks.nowUs();
+        return chain.stalenessUs(nowUs) < CONTACT_LOST_US || edges.isReliedOn(nowUs);
     }
 
     // ---- time
 
     private void tick() {
-        var now = Clocks.nowUs();
-        chain.setKnownMembers(peers.dialed());
-        chain.onTick(now);
-        carryOut();
-        duties.tick(now);
-        jobClock.tick(now);
-        carryOut();
-        registry.sweep(now);
-        replicaNews.tellHomes(now);
+        var nowUs = Clocks.nowUs();
+        chainDriver.tick(nowUs);
+        roleLeases.tick(nowUs);
+        jobClock.tick(nowUs);
+        chainDriver.carryOut();
+        registry.sweep(nowUs);
+        updates.publishToEdges(nowUs);
         peers.closeSilent();
     }
 
-    /** Brings in line what was missed: notes on disk, rows of the registry, links. */
-    private void mend() {
-        memory.sawEdges(registry.members(Clocks.nowUs()).size());
-        memory.sawHomes(peers.homesInRegion());
-        memory.keep();
-        coldSends.sweep(Clocks.nowUs());
-        placement.watch(Clocks.nowUs());
-        replicaNews.sendDigests();
+    /** Brings in line what was missed: the checkpoint on disk, rows of the registry, links. */
+    private void repair() {
+        fleetSize.observeEdges(registry.liveEdges(Clocks.nowUs()).size());
+        fleetSize.observeHomes(regions.homesInOwnRegion());
+        checkpoint.writeIfChanged();
+        warmupPermits.removeExpired(Clocks.nowUs());
+        placement.reportExposure(Clocks.nowUs());
+        updates.sendDigests();
         peers.dialSeeds();
-        peers.forgetGone(Clocks.nowUs());
+        peers.forgetUnreachable(Clocks.nowUs());
         peers.sendHello();
     }
 
-    // ---- the chain's commands
-
-    private void carryOut() {
-        for (var commands = chain.drainEffects();
-                !commands.isEmpty();
-                commands = chain.drainEffects()) {
-            commands.forEach(this::carryOut);
-        }
-    }
-
-    private void carryOut(ChainEffect command) {
-        if (command instanceof ChainEffect.SendMessage send) {
-            peers.dial(send.to());
-            peers.send(send.to(), send.record());
-        } else if (command instanceof ChainEffect.PersistState write) {
-            keep(write);
-        } else if (command instanceof ChainEffect.CompleteRequest answer) {
-            orders.onDecided(answer);
-        } else if (command instanceof ChainEffect.StateCommitted committed) {
-            onCommitted(committed.state());
-        }
-    }
-
-    private void keep(ChainEffect.PersistState write) {
-        loop.startExternalTask();
-        store.writeAsync(
-                () -> write.memberState().encode(),
-                () -> {
-                    loop.execute(() -> onStored(write.token()));
-                    loop.completeExternalTask();
-                });
-    }
-
-    private void onStored(long token) {
-        chain.onPersisted(Clocks.nowUs(), token);
-        carryOut();
-    }
-
-    private void onCommitted(ClusterState state) {
-        RingLog.debug(
-                "committed edition "
-                        + state.edition()
-                        + " revision "
-                        + state.configuration().revision()
-                        + " in view "
-                        + chain.view());
-        peers.dialAll(state.roster().members());
-        configurations.onCommitted(state);
-    }
-
     // ---- records
 
     @Override
     public void onRecord(PeerLink link, byte[] record) {
         var type = record[0];
         if (type <= ChainMember.HIGHEST_MESSAGE_TYPE) {
-            chain.onMessage(Clocks.nowUs(), link.peer(), record);
-            carryOut();
+            chainDriver.onRecord(link.peer(), record);
             return;
         }
         var in = new RecordReader(record, true);
         switch (type) {
             case RecordType.HELLO -> peers.onHello(link, in);
             case RecordType.KNOWN_PEERS -> peers.dialAll(in.texts());
-            case RecordType.REGISTRY_UPDATE -> replicaNews.onFlood(link, in);
-            case RecordType.CONFIRMED_REGISTRY_UPDATE -> replicaNews.onConfirmedFlood(link, in);
-            case RecordType.REGISTRY_DIGEST -> replicaNews.onDigests(link, in);
-            case RecordType.ORDER_REQUEST -> orders.onOrder(link, in);
+            case RecordType.REGISTRY_UPDATE -> updates.onUpdate(link, in);
+            case RecordType.CONFIRMED_REGISTRY_UPDATE -> updates.onConfirmedUpdate(link, in);
+            case RecordType.REGISTRY_DIGEST -> updates.onDigests(link, in);
+            case RecordType.ORDER_REQUEST -> forwarder.onCommand(link, in);
             case RecordType.ORDER_RESPONSE -> peerRequests.onAnswer(link, in);
-            case RecordType.EDGE_LEASE_RENEWAL -> renewals.onRenew(link, in, Clocks.nowUs());
-            case RecordType.LOAD_SAMPLE -> loads.onEdgeSample(in);
-            case RecordType.HOME_LOAD -> loads.onHomeSum(in);
-            case RecordType.OVERLOAD_REPORT -> dutyRelay.onReport(link, record, in);
-            case RecordType.RESYNC_REQUEST -> renewals.onResync(link, Clocks.nowUs());
-            case RecordType.EDGE_REQUEST -> orders.onEdgeOrder(link, in);
-            case RecordType.LEASE_REQUEST -> dutyRelay.onRequest(link, in);
-            case RecordType.LEASE_GRANT -> dutyRelay.onGrant(link, record, in);
+            case RecordType.EDGE_LEASE_RENEWAL -> edgeLeases.onRenewal(link, in, Clocks.nowUs());
+            case RecordType.LOAD_SAMPLE -> load.onEdgeSample(in);
+            case RecordType.HOME_LOAD -> load.onHomeSum(in);
+            case RecordType.OVERLOAD_REPORT -> leaseRelay.onReport(link, record, in);
+            case RecordType.RESYNC_REQUEST -> synchronizer.onResyncRequest(link, Clocks.nowUs());
+            case RecordType.EDGE_REQUEST -> forwarder.onEdgeCommand(link, in);
+            case RecordType.LEASE_REQUEST -> leaseRelay.onRequest(link, in);
+            case RecordType.LEASE_GRANT -> leaseRelay.onGrant(link, record, in);
             case RecordType.SHELL_QUERY -> answerQuery(link, in.text());
             default -> RingLog.debug("link " + link.peer() + ": unknown record " + type);
         }
@@ -366,11 +270,11 @@
     @Override
     public void onClosed(PeerLink link) {
         peerRequests.onClosed(link);
-        homes.remove(link).ifPresent(this::edgeLost);
+        edges.remove(link).ifPresent(this::onEdgeLost);
     }
 
-    private void edgeLost(String edgeIp) {
+    private void onEdgeLost(String edgeIp) {
         configurations.forget(edgeIp);
-        loads.removeEdge(edgeIp);
+        load.removeEdge(edgeIp);
     }
 }
--- /dev/null
+++ b/core/src/main/java/martenloom/core/api/CommandCalls.java
@@ -0,0 +1,93 @@
+package martenloom.core.api;
+
+import io.activej.eventloop.Eventloop;
+import io.activej.http.HttpResponse;
+import io.activej.promise.Promise;
+import io.activej.promise.SettablePromise;
+import martenloom.common.clock.Clocks;
+import martenloom.common.log.RingLog;
+import martenloom.core.chain.ChainMember;
+import martenloom.core.forwarding.CommandForwarder;
+import martenloom.core.state.Command;
+import martenloom.core.state.CommandCodec;
+import martenloom.core.state.ResultCode;
+import martenloom.core.state.StampedCommand;
+
+/**
+ * Submits the commands of calls to the replicated state and turns their results into responses. A
+ * command that finds no head is submitted again for a while. Runs on the reactor thread.
+ */
+final class CommandCalls {
+    private static final long RETRY_PAUSE_US = 60_000;
+
+    /** For so long after the call a command that finds no head is submitted again. */
+    private static final long RETRY_WINDOW_US = 850_000;
+
+    private final Eventloop loop;
+    private final ChainMember chain;
+    private final CommandForwarder forwarder;
+
+    CommandCalls(Eventloop loop, ChainMember chain, CommandForwarder forwarder) {
+        this.loop = loop;
+        this.chain = chain;
+        this.forwarder = forwarder;
+    }
+
+    /**
+     * Submits a command. An operator's order gets the version on which it is accepted here, and
+     * keeps it when it is submitted again.
+     */
+    Promise<HttpResponse> submit(Command command) {
+        var response = new SettablePromise<HttpResponse>();
+        submit(chain.committed().accepted(command), Clocks.nowUs(), response);
+        return response;
+    }
+
+    private void submit(
+            StampedCommand command, long calledUs, SettablePromise<HttpResponse> response) {
+        forwarder.submit(
+                command,
+                (code, text) -> {
+                    if (code == ResultCode.UNAVAILABLE
+                            && Clocks.nowUs() - calledUs < RETRY_WINDOW_US) {
+                        Clocks.after(
+                                loop, RETRY_PAUSE_US, () -> submit(command, calledUs, response));
+                    } else {
+                        log(command, code, text);
+                        response.set(response(code, text));
+                    }
+                });
+    }
+
+    private static void log(StampedCommand command, ResultCode code, String text) {
+        RingLog.debug(
+                "request "
+                        + CommandCodec.describe(command)
+                        + ": "
+                        + code.number()
+                        + " "
+                        + (code == ResultCode.OK ? "" : text));
+    }
+
+    private static HttpResponse response(ResultCode code, String text) {
+        return code == ResultCode.OK && text.isEmpty()
+                ? ApiResponses.ok()
+                : ApiResponses.response(httpStatus(code), text);
+    }
+
+    /**
+     * The HTTP status of a result. The numbers of the codes are those of HTTP, save that the caller
+     * of a stale order may retry it: the same call sent again gets a fresh version.
+     */
+    private static int httpStatus(ResultCode code) {
+        return code == ResultCode.STALE_ORDER ? HttpStatus.SERVICE_UNAVAILABLE : code.number();
+    }
+
+    /**
+     * The status when something that was named is not known here: it does not exist, unless what
+     * this daemon knows may be outdated.
+     */
+    int unknownStatus() {
+        return forwarder.isInContact() ? HttpStatus.NOT_FOUND : HttpStatus.SERVICE_UNAVAILABLE;
+    }
+}
--- a/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
+++ b/core/src/main/java/martenloom/core/edge/ConfigurationPublisher.java
@@ -10,48 +10,53 @@
 import martenloom.core.state.ClusterState;
 
 /**
- * Sends the committed configuration to the edges of this home. The routing text goes to an edge
- * only with a revision that it has not been sent on its link. Runs on the reactor thread.
+ * Sends the committed configuration to the edges of this home. The routing text, its largest part,
+ * goes to an edge only with a revision that it has not been sent on its link. Runs on the reactor
+ * thread.
  */
 public final class ConfigurationPublisher {
     private static final long NEVER_SENT = -1;
 
     private final ChainMember chain;
-    private final EdgeLinks homes;
+    private final EdgeLinks edges;
+
+    /** The revision that each edge was last sent on its current link. */
     private final Map<String, Long> sentRevision = new HashMap<>();
 
-    public ConfigurationPublisher(ChainMember chain, EdgeLinks homes) {
+    /** Has sent nothing to any edge yet. */
+    public ConfigurationPublisher(ChainMember chain, EdgeLinks edges) {
         this.chain = chain;
-        this.homes = homes;
+        this.edges = edges;
     }
 
     /** Sends a newly committed state to all edges. */
     public void onCommitted(ClusterState state) {
-        var whole = configuration(state, true);
-        var withoutText = configuration(state, false);
-        homes.forEach(
+        var complete = encode(state, true);
+        var withoutRoutingText = encode(state, false);
+        var revision = state.configuration().revision();
+        edges.forEach(
                 (edgeIp, link) -> {
                     var sent = sentRevision.getOrDefault(edgeIp, NEVER_SENT);
-                    link.send(sent == state.configuration().revision() ? withoutText : whole);
+                    link.send(sent == revision ? withoutRoutingText : complete);
                 });
-        homes.edgeIps()
-                .forEach(edgeIp -> sentRevision.put(edgeIp, state.configuration().revision()));
+        edges.edgeIps().forEach(edgeIp -> sentRevision.put(edgeIp, revision));
     }
 
     /**
-     * Sends the whole configuration to one edge. Nothing is handed out as current that may be old:
-     * the edge is told our age with every renewal, and goes elsewhere.
+     * Sends the complete configuration to one edge, unless what is known here may be outdated: the
+     * edge learns that from every answer to a renewal, and chooses another home.
      */
-    public void sendWhole(String edgeIp, PeerLink link) {
+    public void sendComplete(String edgeIp, PeerLink link) {
         if (!chain.isFresh(Clocks.nowUs())) {
             return;
         }
         var state = chain.committed();
-        link.send(configuration(state, true));
+        link.send(encode(state, true));
         sentRevision.put(edgeIp, state.configuration().revision());
     }
 
-    public boolean sentTo(String edgeIp) {
+    /** Whether an edge was sent the configuration on its current link. */
+    public boolean isSentTo(String edgeIp) {
         return sentRevision.containsKey(edgeIp);
     }
 
@@ -60,7 +65,7 @@
         sentRevision.remove(edgeIp);
     }
 
-    private static byte[] configuration(ClusterState state, boolean withRoutingText) {
+    private static byte[] encode(ClusterState state, boolean withRoutingText) {
         return new RecordWriter(RecordType.CONFIGURATION)
                 .i64(state.edition())
                 .i64(state.configuration().revision())
--- a/core/src/main/java/martenloom/core/edge/EdgeLinks.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLinks.java
@@ -10,14 +10,12 @@
 import martenloom.common.link.PeerLink;
 
 /**
- * The links of the edges that made this daemon their home, one for each edge: the link on which the
- * edge renewed last. Runs on the reactor thread.
+ * The links of the edges that are subscribed to this daemon as their home, one for each edge: the
+ * link on which the edge has renewed its lease last. Runs on the reactor thread.
  */
 public final class EdgeLinks {
-    /**
-     * An edge renews every 0.4 s; three renewals missed mean that it does not rely on this daemon.
-     */
-    private static final long RELIED_US = 1_200_000;
+    /** An edge renews every 0.4 s; after three missed renewals it does not rely on this daemon. */
+    private static final long RELIANCE_US = 1_200_000;
 
     private final Map<String, PeerLink> links = new LinkedHashMap<>();
 
@@ -30,7 +28,7 @@
         return true;
     }
 
-    /** Forgets a closed link; returns the edge that has lost its home by that, if any. */
+    /** Forgets a closed link; returns the edge whose current link it was, if any. */
     public Optional<String> remove(PeerLink link) {
         var edgeIp = edgeOf(link);
         edgeIp.ifPresent(links::remove);
@@ -44,32 +42,38 @@
                 : Optional.empty();
     }
 
+    /** The current link of an edge. */
     public Optional<PeerLink> link(String edgeIp) {
         return Optional.ofNullable(links.get(edgeIp));
     }
 
+    /** A copy of the addresses of the edges. */
     public Collection<String> edgeIps() {
         return Set.copyOf(links.keySet());
     }
 
+    /** The number of edges. */
     public int size() {
         return links.size();
     }
 
     /**
-     * Goes over a copy: a link that is found not to read is closed by the sending, and is removed
-     * meanwhile.
+     * Visits a copy of the links: one that is found not to read is closed by the sending, and is
+     * removed meanwhile.
      */
     public void forEach(BiConsumer<String, PeerLink> action) {
-        List.copyOf(links.entrySet()).forEach(e -> action.accept(e.getKey(), e.getValue()));
+        List.copyOf(links.entrySet())
+                .forEach(entry -> action.accept(entry.getKey(), entry.getValue()));
     }
 
+    /** Sends a record to all edges. */
     public void sendAll(byte[] record) {
         forEach((edgeIp, link) -> link.send(record));
     }
 
-    /** Whether an edge was heard so lately that it relies on this daemon. */
-    public boolean reliedOn(long now) {
-        return links.values().stream().anyMatch(link -> now - link.lastReceivedUs() < RELIED_US);
+    /** Whether an edge was heard so recently that it relies on this daemon. */
+    public boolean isReliedOn(long nowUs) {
+        return links.values().stream()
+                .anyMatch(link -> nowUs - link.lastReceivedUs() < RELIANCE_US);
     }
 }
--- a/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
+++ b/core/src/main/java/martenloom/core/jobs/JobClockUpdater.java
@@ -1,31 +1,36 @@
 package martenloom.core.jobs;
 
 import martenloom.core.chain.ChainMember;
-import martenloom.core.forwarding.CommandForwarder;
+import martenloom.core.forwarding.CommandSubmitter;
 import martenloom.core.state.Command;
 import martenloom.core.state.StampedCommand;
 
 /**
- * Keeps the clock of the jobs in the committed state, so that a new head goes on from there: the
+ * Keeps the clock of the jobs in the replicated state, so that a new head goes on from there: the
  * head writes it every few seconds while there are live jobs. Runs on the reactor thread.
  */
 public final class JobClockUpdater {
-    private static final long WRITE_US = 4_000_000;
+    private static final long INTERVAL_US = 4_000_000;
 
     private final ChainMember chain;
-    private final CommandForwarder orders;
+    private final CommandSubmitter commands;
     private long writtenUs;
 
-    public JobClockUpdater(ChainMember chain, CommandForwarder orders) {
+    /**
+     * @param commands submits a command to the chain of this daemon
+     */
+    public JobClockUpdater(ChainMember chain, CommandSubmitter commands) {
         this.chain = chain;
-        this.orders = orders;
+        this.commands = commands;
     }
 
-    public void tick(long now) {
-        if (chain.isHead() && chain.committed().jobs().live() > 0 && now - writtenUs > WRITE_US) {
-            writtenUs = now;
-            var order = StampedCommand.of(new Command.AdvanceJobClock());
-            orders.submitLocally(order, (code, text) -> {});
+    /** Writes the clock if this member is the head and the time has come. */
+    public void tick(long nowUs) {
+        if (chain.isHead()
+                && chain.committed().jobs().live() > 0
+                && nowUs - writtenUs > INTERVAL_US) {
+            writtenUs = nowUs;
+            commands.submit(StampedCommand.of(new Command.AdvanceJobClock()), (code, text) -> {});
         }
     }
 }
--- a/core/src/main/java/martenloom/core/peer/PeerRequests.java
+++ b/core/src/main/java/martenloom/core/peer/PeerRequests.java
@@ -14,14 +14,18 @@
 
 /**
  * The requests that this daemon has sent to other core daemons, and the answers that go over the
- * links. Every caller is told exactly once, as {@link PendingRequests} guarantees. Runs on the
+ * links. Every caller is answered exactly once, as {@link PendingRequests} guarantees. Runs on the
  * reactor thread.
  */
 public final class PeerRequests {
     private final PendingRequests<PeerLink> pending =
             new PendingRequests<>(new SecureRandom().nextLong());
 
-    /** Sends a request: a record of this type with the id of the request before its body. */
+    /**
+     * Sends a request: a record of this type with the id of the request before its body.
+     *
+     * @param reply is called once, with the code and the text of the answer
+     */
     public RequestId send(
             PeerLink link,
             int recordType,
@@ -38,21 +42,24 @@
     }
 
     /** Gives up a request that had no answer in time; does nothing if it was answered. */
-    public void expire(RequestId id, String why) {
-        pending.expire(id, why);
+    public void expire(RequestId id, String reason) {
+        pending.expire(id, reason);
     }
 
+    /** An answer has come in. */
     public void onAnswer(PeerLink link, RecordReader in) {
         var id = RequestId.read(in);
         if (!pending.complete(id, link, in.i32(), in.text())) {
-            RingLog.debug("link " + link.peer() + ": an answer to no request of ours is dropped");
+            RingLog.debug("link " + link.peer() + ": an answer to no pending request is dropped");
         }
     }
 
+    /** Gives up the requests on a link: their answers can only come on it. */
     public void onClosed(PeerLink link) {
         pending.channelClosed(link, "the link to " + link.peer() + " closed before an answer");
     }
 
+    /** Whether no request waits for an answer. */
     public boolean isEmpty() {
         return pending.size() == 0;
     }
@@ -63,4 +70,9 @@
         id.write(out);
         link.send(out.i32(code.number()).text(text).bytes());
     }
+
+    /** Answers a request that asks for nothing but an acknowledgement. */
+    public static void acknowledge(PeerLink link, RequestId id) {
+        answer(link, id, ResultCode.OK, "");
+    }
 }
--- a/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
+++ b/core/src/main/java/martenloom/core/warmup/WarmupPermitLender.java
@@ -3,97 +3,74 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
-import martenloom.common.clock.Clocks;
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.settings.Settings;
-import martenloom.core.chain.ChainMember;
-import martenloom.core.configuration.CompiledRoutes;
 import martenloom.core.edge.EdgeLinks;
-import martenloom.core.peer.CorePeerLinks;
-import martenloom.core.registry.Registry;
-import martenloom.core.registry.RegistryCheckpoint;
-import martenloom.routing.route.RouteTable;
+import martenloom.core.peer.PeerRegions;
+import martenloom.core.registry.FleetSize;
 
 /**
- * Shares out among the edges of this home how often they may send to replicas that are not warm yet
- * when there are more edges than sends: each home lends its share, so that all homes together do
- * not lend more than the replica takes. Runs on the reactor thread.
+ * Divides the rates of replicas that are warming up among the edges of this home, when there are
+ * more edges than requests to divide: each home lends its equal share, so that all homes together
+ * do not lend more than a replica takes. Runs on the reactor thread.
  */
 public final class WarmupPermitLender {
     /**
-     * Edges use even shares up to as many edges as sends; homes lend only when there are clearly
-     * more, so that no two ways add up.
+     * Edges use equal shares up to as many edges as requests; homes lend only when there are
+     * clearly more, so that the two ways never add up.
      */
-    private static final int LENT_APART = 4;
+    private static final int EDGES_APART = 4;
 
     private final Settings settings;
-    private final ChainMember chain;
-    private final Registry registry;
-    private final CompiledRoutes routes;
-    private final RegistryCheckpoint memory;
-    private final CorePeerLinks peers;
-    private final EdgeLinks homes;
-    private final WarmupPermits leases;
+    private final WarmupRates rates;
+    private final FleetSize fleetSize;
+    private final PeerRegions regions;
+    private final EdgeLinks edges;
+    private final WarmupPermits permits;
 
+    /**
+     * @param permits what this home has lent
+     */
     public WarmupPermitLender(
             Settings settings,
-            ChainMember chain,
-            Registry registry,
-            CompiledRoutes routes,
-            RegistryCheckpoint memory,
-            CorePeerLinks peers,
-            EdgeLinks homes,
-            boolean firstStart) {
+            WarmupRates rates,
+            FleetSize fleetSize,
+            PeerRegions regions,
+            EdgeLinks edges,
+            WarmupPermits permits) {
         this.settings = settings;
-        this.chain = chain;
-        this.registry = registry;
-        this.routes = routes;
-        this.memory = memory;
-        this.peers = peers;
-        this.homes = homes;
-        leases = new WarmupPermits(Clocks.nowUs(), firstStart);
+        this.rates = rates;
+        this.fleetSize = fleetSize;
+        this.regions = regions;
+        this.edges = edges;
+        this.permits = permits;
     }
 
     /**
-     * What an edge may send to each of these cold replicas; those of which it gets none left out.
+     * Lends an edge permits for replicas that are warming up.
+     *
+     * @return the requests a second by replica; those for which it gets none are left out
      */
-    public Map<String, Integer> lend(EdgeRecord edge, List<String> coldReplicas, long now) {
+    public Map<String, Integer> lend(EdgeRecord edge, List<String> replicas, long nowUs) {
         var lent = new LinkedHashMap<String, Integer>();
         if (!edge.region().equals(settings.region()) || edge.draining()) {
             return lent;
         }
-        var table = routes.of(chain.committed());
-        for (var replica : coldReplicas) {
-            var sends = lend(edge.ip(), replica, coldPerSecond(replica, table), now);
-            if (sends > 0) {
-                lent.put(replica, sends);
+        var table = rates.routeTable();
+        for (var replica : replicas) {
+            var perSecond = lend(edge.ip(), replica, rates.perSecond(replica, table), nowUs);
+            if (perSecond > 0) {
+                lent.put(replica, perSecond);
             }
         }
         return lent;
     }
 
-    private int lend(String edgeIp, String replica, int perSecond, long now) {
-        if (memory.mostEdges() <= perSecond + LENT_APART) {
+    private int lend(String edgeIp, String replica, int perSecond, long nowUs) {
+        if (fleetSize.maxEdges() <= perSecond + EDGES_APART) {
             return 0;
         }
-        var share = perSecond / Math.max(memory.mostHomes(), peers.homesInRegion());
-        return leases.lend(replica, edgeIp, share, homes.size(), now);
-    }
-
-    /** How many sends in a second a cold replica takes from all edges together. */
-    private int coldPerSecond(String replica, RouteTable table) {
-        return registry.replica(replica)
-                .flatMap(row -> Optional.ofNullable(table.services().get(row.service())))
-                .map(
-                        service ->
-                                service.coldRequestsPerS(
-                                        settings.bounds().warmupOverage(),
-                                        settings.bounds().warmupSlack()))
-                .orElse(0);
-    }
-
-    public void sweep(long now) {
-        leases.removeExpired(now);
+        var share = perSecond / Math.max(fleetSize.maxHomes(), regions.homesInOwnRegion());
+        return permits.lend(replica, edgeIp, share, edges.size(), nowUs);
     }
 }
--- a/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
+++ b/core/src/test/java/martenloom/core/api/EdgeDirectoryTest.java
@@ -46,7 +46,7 @@
         return String.join(
                 ",",
                 EdgeDirectory.choose(ready, zone, region, homes).stream()
-                        .map(e -> e.ip())
+                        .map(edge -> edge.ip())
                         .toList());
     }
 
@@ -68,16 +68,17 @@
     void homesAreTheRegionsThatTheHostsBoundRoutesShare() {
         assertEquals(
                 Set.of("south"),
-                EdgeDirectory.homes(
+                EdgeDirectory.homeRegions(
                         table(List.of("north", "south"), List.of(), List.of("south", "west")),
                         "CLUSTER.example"));
         assertEquals(
                 Set.of("north", "west"),
-                EdgeDirectory.homes(table(List.of("north"), List.of("west")), "cluster.example"),
+                EdgeDirectory.homeRegions(
+                        table(List.of("north"), List.of("west")), "cluster.example"),
                 "they share none");
-        assertEquals(Set.of(), EdgeDirectory.homes(table(List.of("north")), "other.example"));
+        assertEquals(Set.of(), EdgeDirectory.homeRegions(table(List.of("north")), "other.example"));
         assertEquals(
                 Set.of(),
-                EdgeDirectory.homes(table(Arrays.asList(new String[0])), "cluster.example"));
+                EdgeDirectory.homeRegions(table(Arrays.asList(new String[0])), "cluster.example"));
     }
 }
--- a/launcher/src/main/java/martenloom/launcher/RoleRunner.java
+++ b/launcher/src/main/java/martenloom/launcher/RoleRunner.java
@@ -91,7 +91,7 @@
         var store = new FileSystemFolder(settings.dataDirectory());
         var daemon = new CoreDaemon(settings, loop, store);
         loop.execute(() -> startOrHalt(() -> daemon.start()));
-        Runtime.getRuntime().addShutdownHook(new Thread(daemon::leave, "leave"));
+        Runtime.getRuntime().addShutdownHook(new Thread(daemon::shutDown, "leave"));
     }
 
     /** The start of a daemon, on its reactor thread. */
--- a/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
@@ -257,7 +257,7 @@
 
     /** As SIGTERM does: the daemon leaves, then its process ends; says whether it left in order. */
     public boolean leaveCore(int i) {
-        var inOrder = cores.get(core(i)).leave();
+        var inOrder = cores.get(core(i)).shutDown();
         kill(core(i));
         return inOrder;
     }
