--- a/core/src/main/java/martenloom/core/admin/ShellQueries.java
+++ b/core/src/main/java/martenloom/core/admin/ShellQueries.java
@@ -1,8 +1,9 @@
 package martenloom.core.admin;
 
+import java.util.Collection;
+import java.util.Optional;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import java.util.stream.Stream;
 import martenloom.common.clock.Clocks;
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.fleet.ReplicaRecord;
@@ -13,6 +14,7 @@
 import martenloom.core.edge.EdgeLinks;
 import martenloom.core.placement.PlacementService;
 import martenloom.core.registry.Registry;
+import martenloom.routing.placement.PlacementFinding;
 
 /**
  * Answers the queries of the operator's shell in plain text. Only reads; a query that is not known
@@ -20,6 +22,11 @@
  */
 public final class ShellQueries {
     private static final int LOG_LINES = 200;
+    private static final int US_PER_MS = 1_000;
+    private static final int PREVIEW_WORDS = 3;
+    private static final String PREVIEW = "would";
+    private static final String UNLOAD = "unload";
+    private static final String LOAD = "load";
     private static final String USAGE =
             "? members chain configuration replicas evacuations homes leases jobs"
                     + " scaling exposure traffic log; would REGION/MODEL unload|load\n";
@@ -28,54 +35,66 @@
     private final ChainMember chain;
     private final Registry registry;
     private final PlacementService placement;
-    private final EdgeLinks homes;
+    private final EdgeLinks edges;
 
+    /** Reads the other parts at each query. */
     public ShellQueries(
             Settings settings,
             ChainMember chain,
             Registry registry,
             PlacementService placement,
-            EdgeLinks homes) {
+            EdgeLinks edges) {
         this.settings = settings;
         this.chain = chain;
         this.registry = registry;
         this.placement = placement;
-        this.homes = homes;
+        this.edges = edges;
     }
 
+    /** The answer to one query, in whole lines. */
     public String answer(String query) {
-        var words = query.split(" ");
-        if (words.length == 3
-                && words[0].equals("would")
-                && (words[2].equals("unload") || words[2].equals("load"))) {
-            return placement.would(words[1], words[2]);
-        }
-        var now = Clocks.nowUs();
+        var nowUs = Clocks.nowUs();
         return switch (query) {
-            case "exposure" -> lines(placement.exposure().stream(), f -> f.text() + '\n');
+            case "exposure" -> lines(placement.exposure(), finding -> finding.text() + '\n');
             case "scaling" -> scaling();
-            case "members" -> lines(registry.members(now).stream(), e -> member(e, now));
-            case "chain" -> chainState(now);
+            case "members" -> lines(registry.liveEdges(nowUs), edge -> edge(edge, nowUs));
+            case "chain" -> chainState(nowUs);
             case "configuration" -> configuration();
-            case "replicas" -> lines(registry.replicas().stream(), r -> replica(r, now));
+            case "replicas" -> lines(registry.replicas(), replica -> replica(replica, nowUs));
             case "evacuations" ->
-                    lines(chain.committed().evacuations().zones().stream(), zone -> zone + '\n');
+                    lines(chain.committed().evacuations().zones(), zone -> zone + '\n');
             case "homes" -> homes();
             case "leases" -> leases();
-            case "jobs" -> chain.committed().jobs().report(chain.jobClockUs(now));
+            case "jobs" -> chain.committed().jobs().report(chain.jobClockUs(nowUs));
             case "traffic" -> LinkTraffic.report();
             case "log" -> RingLog.recent(LOG_LINES);
-            default -> USAGE;
+            default -> preview(query.split(" ")).orElse(USAGE);
         };
     }
 
-    private static <T> String lines(Stream<T> items, Function<T, String> line) {
-        return items.map(line).collect(Collectors.joining());
+    private static <T> String lines(Collection<T> items, Function<T, String> line) {
+        return items.stream().map(line).collect(Collectors.joining());
+    }
+
+    /** What an order of the operator would strand; empty if the query is not for that. */
+    private Optional<String> preview(String[] words) {
+        if (words.length != PREVIEW_WORDS
+                || !words[0].equals(PREVIEW)
+                || !words[2].equals(UNLOAD) && !words[2].equals(LOAD)) {
+            return Optional.empty();
+        }
+        var stranded = placement.strandedBy(words[1], words[2].equals(UNLOAD));
+        return Optional.of(
+                stranded.isEmpty()
+                        ? "ok: nothing is stranded\n"
+                        : stranded.stream()
+                                .map(PlacementFinding::text)
+                                .collect(Collectors.joining("\n", "", "\n")));
     }
 
     private String scaling() {
         return lines(
-                chain.committed().scaling().targets().entrySet().stream(),
+                chain.committed().scaling().targets().entrySet(),
                 entry -> {
                     var scale = entry.getValue();
                     return String.format(
@@ -88,7 +107,7 @@
                 });
     }
 
-    private static String member(EdgeRecord edge, long now) {
+    private static String edge(EdgeRecord edge, long nowUs) {
         return String.format(
                 "%s %s %s %s%s revision %d lease-age %d ms\n",
                 edge.ip(),
@@ -97,18 +116,18 @@
                 edge.ready() ? "ready" : "not-ready",
                 edge.draining() ? " leaving" : "",
                 edge.configurationRevision(),
-                (now - edge.lastRenewalUs()) / 1000);
+                (nowUs - edge.lastRenewalUs()) / US_PER_MS);
     }
 
-    private String chainState(long now) {
+    private String chainState(long nowUs) {
         return String.format(
                 "mode %s view %d.%s head %s chain %s stale %d ms\nroster %s\n",
-                chain.role(),
+                chain.role().label(),
                 chain.view().number(),
                 chain.view().member(),
                 chain.head(),
                 chain.chain(),
-                chain.stalenessUs(now) / 1000,
+                chain.stalenessUs(nowUs) / US_PER_MS,
                 chain.committed().roster().members());
     }
 
@@ -122,7 +141,7 @@
                 + state.configuration().routingText();
     }
 
-    private static String replica(ReplicaRecord replica, long now) {
+    private static String replica(ReplicaRecord replica, long nowUs) {
         return String.format(
                 "%s %s %s %s %s seq %d beat-age %d ms warm-left %d ms\n",
                 replica.id(),
@@ -131,8 +150,8 @@
                 replica.zone(),
                 condition(replica),
                 replica.sequence(),
-                (now - replica.lastHeartbeatUs()) / 1000,
-                Math.max(0, replica.warmFromUs() - now) / 1000);
+                (nowUs - replica.lastHeartbeatUs()) / US_PER_MS,
+                Math.max(0, replica.warmFromUs() - nowUs) / US_PER_MS);
     }
 
     private static String condition(ReplicaRecord replica) {
@@ -147,7 +166,7 @@
 
     private String homes() {
         var text = new StringBuilder();
-        homes.forEach(
+        edges.forEach(
                 (edgeIp, link) ->
                         text.append(edgeIp)
                                 .append(" home ")
@@ -158,7 +177,7 @@
 
     private String leases() {
         return lines(
-                chain.committed().leases().byRole().entrySet().stream(),
+                chain.committed().leases().byRole().entrySet(),
                 entry ->
                         String.format(
                                 "%s grant %d holder %s\n",
--- /dev/null
+++ b/core/src/main/java/martenloom/core/api/HttpStatus.java
@@ -0,0 +1,12 @@
+package martenloom.core.api;
+
+/** The HTTP statuses that the control API gives by itself; see RFC 9110. */
+final class HttpStatus {
+    static final int OK = 200;
+    static final int BAD_REQUEST = 400;
+    static final int NOT_FOUND = 404;
+    static final int UNPROCESSABLE_CONTENT = 422;
+    static final int SERVICE_UNAVAILABLE = 503;
+
+    private HttpStatus() {}
+}
--- a/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
+++ b/core/src/main/java/martenloom/core/edge/EdgeLeaseResponder.java
@@ -4,71 +4,63 @@
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.fleet.RecordType;
-import martenloom.core.chain.ChainMember;
 import martenloom.core.jobs.RegionJobListing;
-import martenloom.core.membership.GracefulShutdown;
 import martenloom.core.peer.CorePeerLinks;
+import martenloom.core.registry.FleetSize;
 import martenloom.core.registry.Registry;
-import martenloom.core.registry.RegistryCheckpoint;
 import martenloom.core.warmup.WarmupPermitLender;
 import martenloom.core.warmup.WarmupPermits;
 
 /**
- * The answer to a renewal: how old this daemon and its knowledge are, the editions and digests by
- * which the edge finds what it lacks, where else it may turn to, and what it may send to cold
- * replicas. A daemon that leaves says that its knowledge is too old, so that edges choose another
- * home. Runs on the reactor thread.
+ * Encodes the answer to the renewal of an edge's lease: the freshness of this home, the edition and
+ * the digest by which the edge finds what it lacks, the size of the fleet, the other homes it may
+ * turn to, and its permits for replicas that are warming up. Runs on the reactor thread.
  */
 public final class EdgeLeaseResponder {
-    /** What is added to the age of a daemon that found replicas on its disk. */
-    private static final long RESTORED_AGE_US = 10_000_000;
-
-    private final ChainMember chain;
+    private final HomeFreshness freshness;
     private final Registry registry;
-    private final RegistryCheckpoint memory;
+    private final FleetSize fleetSize;
     private final CorePeerLinks peers;
     private final RegionJobListing regionJobs;
-    private final WarmupPermitLender coldSends;
-    private final GracefulShutdown leave;
-    private final long startUs;
+    private final WarmupPermitLender warmupPermits;
 
-    /**
-     * @param startUs when this daemon started
-     */
+    /** Only combines what the other parts know. */
     public EdgeLeaseResponder(
-            ChainMember chain,
+            HomeFreshness freshness,
             Registry registry,
-            RegistryCheckpoint memory,
+            FleetSize fleetSize,
             CorePeerLinks peers,
             RegionJobListing regionJobs,
-            WarmupPermitLender coldSends,
-            GracefulShutdown leave,
-            long startUs) {
-        this.chain = chain;
+            WarmupPermitLender warmupPermits) {
+        this.freshness = freshness;
         this.registry = registry;
-        this.memory = memory;
+        this.fleetSize = fleetSize;
         this.peers = peers;
         this.regionJobs = regionJobs;
-        this.coldSends = coldSends;
-        this.leave = leave;
-        this.startUs = startUs;
+        this.warmupPermits = warmupPermits;
     }
 
-    public byte[] record(EdgeRecord edge, long stamp, List<String> coldReplicas, long now) {
+    /**
+     * The record of the answer.
+     *
+     * @param sentAtUs the time of the renewal by the clock of the edge, which it gets back
+     * @param warmingReplicas the replicas for which the edge asks permits
+     */
+    byte[] respond(EdgeRecord edge, long sentAtUs, List<String> warmingReplicas, long nowUs) {
         return new RecordWriter(RecordType.EDGE_LEASE_RESPONSE)
-                .i64(stamp)
-                .i64(now - startUs + (memory.restored() ? RESTORED_AGE_US : 0))
-                .i64(leave.begun() ? GracefulShutdown.FAR_TOO_OLD_US : chain.stalenessUs(now))
-                .i64(chain.committed().edition())
-                .i32(registry.edgeDigest())
-                .i32(memory.mostEdges())
-                .i32(registry.members(now).size())
+                .i64(sentAtUs)
+                .i64(freshness.ageUs(nowUs))
+                .i64(freshness.stalenessUs(nowUs))
+                .i64(freshness.edition())
+                .i32(registry.replicaDigest())
+                .i32(fleetSize.maxEdges())
+                .i32(registry.liveEdges(nowUs).size())
                 .texts(peers.reachable())
-                .flag(regionJobs.anyLive(edge.region()))
+                .flag(regionJobs.hasLiveJobs(edge.region()))
                 .i64(WarmupPermits.PERMIT_US)
                 .list(
-                        coldSends.lend(edge, coldReplicas, now).entrySet(),
-                        (out, lent) -> out.text(lent.getKey()).i32(lent.getValue()))
+                        warmupPermits.lend(edge, warmingReplicas, nowUs).entrySet(),
+                        (out, permit) -> out.text(permit.getKey()).i32(permit.getValue()))
                 .bytes();
     }
 }
--- a/core/src/main/java/martenloom/core/load/LoadPublisher.java
+++ b/core/src/main/java/martenloom/core/load/LoadPublisher.java
@@ -12,6 +12,7 @@
 import martenloom.core.edge.EdgeLinks;
 import martenloom.core.load.PrefixLocations.Audience;
 import martenloom.core.peer.CorePeerLinks;
+import martenloom.core.peer.PeerRegions;
 
 /**
  * Exchanges load summaries: takes the samples of the edges of this home, sends their sum to the
@@ -29,6 +30,7 @@
 
     private final Settings settings;
     private final CorePeerLinks peers;
+    private final PeerRegions regions;
     private final EdgeLinks edges;
     private final LoadAggregator aggregator = new LoadAggregator();
     private final PrefixLocations prefixLocations = new PrefixLocations();
@@ -37,9 +39,11 @@
     private long sentVersion = NEVER_SENT;
 
     /** Publishes nothing until {@link #publish} is called. */
-    public LoadPublisher(Settings settings, CorePeerLinks peers, EdgeLinks edges) {
+    public LoadPublisher(
+            Settings settings, CorePeerLinks peers, PeerRegions regions, EdgeLinks edges) {
         this.settings = settings;
         this.peers = peers;
+        this.regions = regions;
         this.edges = edges;
     }
 
@@ -48,9 +52,9 @@
         var nowUs = Clocks.nowUs();
         round++;
         var ownSum = aggregator.ownSum(nowUs);
-        sendToHomes(peers::isInOwnRegion, Audience.HOMES_IN_REGION, ownSum);
+        sendToHomes(regions::isInOwnRegion, Audience.HOMES_IN_REGION, ownSum);
         if (round % ROUNDS_BETWEEN_REGIONS == 0) {
-            sendToHomes(ip -> !peers.isInOwnRegion(ip), Audience.HOMES_ELSEWHERE, ownSum);
+            sendToHomes(ip -> !regions.isInOwnRegion(ip), Audience.HOMES_ELSEWHERE, ownSum);
         }
         if (round % ROUNDS_UNCHANGED == 0
                 || aggregator.version() != sentVersion
--- a/core/src/main/java/martenloom/core/state/ConfigurationState.java
+++ b/core/src/main/java/martenloom/core/state/ConfigurationState.java
@@ -36,6 +36,7 @@
      * Applies a change. One that was applied is acknowledged again, whatever came after it; its
      * base and its kind are part of it.
      */
+    @SuppressWarnings("checkstyle:IllegalCatch") // an operator's text must not end a member
     CommandResult<ConfigurationState> decide(ConfigurationCommand change) {
         var digest = digest(change);
         if (applied.contains(digest)) {
@@ -46,7 +47,6 @@
         } catch (MartenloomException e) {
             return CommandResult.refused(ResultCode.INVALID, e.getMessage());
         } catch (RuntimeException e) {
-            // Whatever an operator sends, it must not end the members that have to decide it.
             return CommandResult.refused(
                     ResultCode.INVALID,
                     "the configuration cannot be read: " + e.getClass().getSimpleName());
--- a/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
+++ b/core/src/test/java/martenloom/core/load/LoadAggregatorTest.java
@@ -16,13 +16,13 @@
 final class LoadAggregatorTest {
     private final LoadAggregator aggregator = new LoadAggregator();
 
-    private static LoadSummary sample(int inHand, int flights) {
-        var t = LoadSummary.ofEdge();
-        t.addReplica("r", inHand, inHand * 100, false);
-        for (var i = 0; i < flights; i++) {
-            t.addInFlight("north/m");
+    private static LoadSummary sample(int inFlight, int inFlightOfModel) {
+        var sample = LoadSummary.ofEdge();
+        sample.addReplica("r", inFlight, inFlight * 100, false);
+        for (var i = 0; i < inFlightOfModel; i++) {
+            sample.addInFlight("north/m");
         }
-        return t;
+        return sample;
     }
 
     private int total(long now) {
@@ -36,7 +36,7 @@
         assertTrue(
                 aggregator.acceptHome(
                         "h2", 5, 1, new LoadSummary().add(sample(5, 2)).add(sample(1, 1)), 0));
-        var w =
+        var total =
                 LoadSummary.read(
                         new RecordReader(
                                 aggregator
@@ -44,13 +44,13 @@
                                         .write(new RecordWriter())
                                         .bytes(),
                                 false));
-        assertEquals(11, w.replicaLoad("r").inFlight());
-        assertEquals(1100, w.replicaLoad("r").pendingPrefillTokens());
-        assertEquals(8, w.inFlightByModel().get("north/m"));
-        assertEquals(4, w.edgeCount());
+        assertEquals(11, total.replicaLoad("r").inFlight());
+        assertEquals(1100, total.replicaLoad("r").pendingPrefillTokens());
+        assertEquals(8, total.inFlightByModel().get("north/m"));
+        assertEquals(4, total.edgeCount());
         assertEquals(
                 8,
-                w.subtract(sample(3, 4)).replicaLoad("r").inFlight(),
+                total.subtract(sample(3, 4)).replicaLoad("r").inFlight(),
                 "an edge takes its own part away");
     }
 
--- a/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
+++ b/core/src/test/java/martenloom/core/registry/RegistryCheckpointGoldenTest.java
@@ -29,8 +29,8 @@
  */
 final class RegistryCheckpointGoldenTest {
     private static final String NOTE = "replicas";
-    private static final int BEAT_MS = 300;
-    private static final long COLD_US = 600_000;
+    private static final int HEARTBEAT_MS = 300;
+    private static final long WARMUP_US = 600_000;
     private static final long FLUSH_MS = 10_000;
     private static final Settings SETTINGS =
             SettingsFile.parse(
@@ -50,7 +50,8 @@
 
     @TempDir private Path folder;
 
-    private final Registry registry = new Registry(BEAT_MS * 1000L);
+    private final Registry registry = new Registry(HEARTBEAT_MS * 1000L);
+    private final FleetSize fleetSize = new FleetSize();
 
     private VersionedStore store() {
         return new VersionedStore(new FileSystemFolder(folder.toString()));
@@ -64,7 +65,7 @@
     private static byte[] timeless(byte[] note) {
         var in = new RecordReader(note, false);
         var out = new RecordWriter().i32(in.i32()).i32(in.i32());
-        var replicas = in.list(x -> ReplicaRecord.read(x, 0));
+        var replicas = in.list(row -> ReplicaRecord.read(row, 0));
         for (var replica : replicas) {
             replica.setWarmFromUs(0);
             replica.setLastHeartbeatUs(0);
@@ -73,18 +74,18 @@
                 replica.setDrainDeadlineUs(0);
             }
         }
-        return out.list(replicas, (o, replica) -> replica.write(o, 0)).bytes();
+        return out.list(replicas, (row, replica) -> replica.write(row, 0)).bytes();
     }
 
     @Test
     void theRecordedNoteIsTakenAsItStands() throws IOException {
         putRecordedNote();
         var beforeUs = Clocks.nowUs();
-        var checkpoint = new RegistryCheckpoint(SETTINGS, store(), registry);
+        var checkpoint = new RegistryCheckpoint(SETTINGS, store(), registry, fleetSize);
         var afterUs = Clocks.nowUs();
-        assertTrue(checkpoint.restored());
-        assertEquals(17, checkpoint.mostEdges());
-        assertEquals(3, checkpoint.mostHomes());
+        assertTrue(checkpoint.isRestored());
+        assertEquals(17, fleetSize.maxEdges());
+        assertEquals(3, fleetSize.maxHomes());
         var replicas =
                 registry.replicas().stream()
                         .collect(Collectors.toMap(replica -> replica.id(), replica -> replica));
@@ -119,9 +120,9 @@
         assertEquals(Long.MAX_VALUE, running.drainDeadlineUs());
         assertTrue(running.lastHeartbeatUs() >= beforeUs && running.lastHeartbeatUs() <= afterUs);
         assertEquals(
-                running.lastHeartbeatUs() + COLD_US,
+                running.lastHeartbeatUs() + WARMUP_US,
                 running.warmFromUs(),
-                "cold until its next beat");
+                "warming up until its next heartbeat");
     }
 
     @Test
@@ -129,9 +130,9 @@
         putRecordedNote();
         var store = store();
         var recorded = store.readCheckpoint(NOTE).orElseThrow();
-        var checkpoint = new RegistryCheckpoint(SETTINGS, store, registry);
+        var checkpoint = new RegistryCheckpoint(SETTINGS, store, registry, fleetSize);
         Files.delete(folder.resolve(NOTE));
-        checkpoint.keep();
+        checkpoint.writeIfChanged();
         store.flush(FLUSH_MS);
         var written = store().readCheckpoint(NOTE).orElseThrow();
         assertEquals(recorded.length, written.length);
