--- a/core/src/main/java/martenloom/core/chain/BallotAcceptor.java
+++ b/core/src/main/java/martenloom/core/chain/BallotAcceptor.java
@@ -39,7 +39,7 @@
         if (isRepeated && member.is(MemberRole.FOLLOWER)) {
             return;
         }
-        member.contact().heard(member.nowUs());
+        member.contact().onContact(member.nowUs());
         if (isRepeated) {
             promise(from, prepare);
             return;
--- a/core/src/main/java/martenloom/core/chain/ChainMember.java
+++ b/core/src/main/java/martenloom/core/chain/ChainMember.java
@@ -39,7 +39,7 @@
     /** The highest type of a record of the chain; higher numbers belong to others. */
     public static final int HIGHEST_MESSAGE_TYPE = ChainMessageCodec.HIGHEST_TYPE;
 
-    /** A member of an odd roster that was missing for so long goes, though nobody replaced it. */
+    /** A member of an odd roster that was missing for so long is removed, though not replaced. */
     public static final long REMOVE_ABSENT_AFTER_US = Membership.REMOVE_ABSENT_AFTER_US;
 
     private static final long HEARTBEAT_INTERVAL_US = 200_000;
@@ -111,7 +111,7 @@
         return member.view().ballot();
     }
 
-    /** The newest head this member knows of; empty before it has heard of any. */
+    /** The newest head this member knows of; empty before it knows of any. */
     public String head() {
         return member.view().head();
     }
@@ -128,7 +128,7 @@
 
     /**
      * Time since the newest moment at which a majority is known to have held together: the sending
-     * of the newest heartbeat that ran the whole chain, as the head knows it, or as it told its
+     * of the newest heartbeat that ran the whole chain, as the head knows it, or as it notified its
      * followers with the age that it had then.
      */
     public long stalenessUs(long nowUs) {
@@ -289,7 +289,7 @@
     /** A member whose disk stalls gives up its view, and lets others go first for a while. */
     private void stepDown() {
         member.contact().noElectionBefore(member.nowUs() + STALLED_HEAD_RESTS_US);
-        member.contact().heard(member.nowUs());
+        member.contact().onContact(member.nowUs());
         member.become(MemberRole.IDLE);
     }
 
--- a/core/src/main/java/martenloom/core/chain/Heartbeats.java
+++ b/core/src/main/java/martenloom/core/chain/Heartbeats.java
@@ -52,7 +52,7 @@
             member.become(MemberRole.FOLLOWER);
             member.departure().revokeRelease();
         }
-        member.contact().heardProof(member.nowUs(), heartbeat.contactAgeUs());
+        member.contact().onMajorityProof(member.nowUs(), heartbeat.contactAgeUs());
         member.view().follow(heartbeat.ballot(), chain);
         member.commit(heartbeat.ballot(), heartbeat.edition());
         if (position == chain.size() - 1) {
--- a/core/src/main/java/martenloom/core/chain/MemberContext.java
+++ b/core/src/main/java/martenloom/core/chain/MemberContext.java
@@ -12,10 +12,10 @@
  * effects it asks of its owner. Runs on the owner's thread.
  */
 final class MemberContext {
-    /** No election so soon after the start: a running head shall be heard first. */
+    /** No election so soon after the start: a running head gets the time to announce itself. */
     private static final long FIRST_ELECTION_AFTER_US = 150_000;
 
-    /** Told of each change of the role, before it takes place. */
+    /** Notified of each change of the role, before it takes place. */
     interface RoleListener {
         void onRoleChange(MemberRole previous, MemberRole next);
     }
@@ -31,12 +31,12 @@
     private final Departure departure = new Departure();
     private final CommittedState committed;
 
-    /** The newest time this member was told of; microseconds, never falls. */
+    /** The time of the newest event, by the steady clock of the owner; never falls. */
     private long nowUs;
 
     private MemberRole role;
 
-    /** The highest number of a ballot heard of. */
+    /** The highest number of a ballot seen in any message. */
     private long highestBallotNumber;
 
     /**
@@ -141,7 +141,7 @@
         highestBallotNumber = Math.max(highestBallotNumber, number);
     }
 
-    /** A ballot of this member above all that it has heard of or promised. */
+    /** A ballot of this member above all that it has seen or promised. */
     Ballot nextBallot() {
         highestBallotNumber = Math.max(highestBallotNumber, promised().number()) + 1;
         return new Ballot(highestBallotNumber, address);
--- a/core/src/main/java/martenloom/core/chain/MemberRole.java
+++ b/core/src/main/java/martenloom/core/chain/MemberRole.java
@@ -4,13 +4,17 @@
  * What a chain member is doing; exactly one role at any time. The transitions:
  *
  * <pre>
- * LEARNER ----------(a view teaches it the state)------------> FOLLOWER
- * IDLE, FOLLOWER ---(no head heard for long enough)----------> CANDIDATE
- * HEAD, ACTIVATING_VIEW --(the view does not hold, or must change)--> CANDIDATE
- * CANDIDATE --------(a majority promised)--------------------> ACTIVATING_VIEW
- * ACTIVATING_VIEW --(the whole chain accepted the state)-----> HEAD
- * any but LEARNER --(promises a higher ballot, loses its election, or its disk stalls)--> IDLE
- * IDLE, any lower view --(accepts a state or hears its head)-> FOLLOWER
+ * LEARNER                --(a view has taught it the state)-----------------> FOLLOWER
+ * IDLE, FOLLOWER         --(no contact with a head for long enough)---------> CANDIDATE
+ * FOLLOWER               --(its head hands over to it)----------------------> CANDIDATE
+ * CANDIDATE              --(a majority promised)----------------------------> ACTIVATING_VIEW
+ * ACTIVATING_VIEW        --(the whole chain accepted the state)-------------> HEAD
+ * ACTIVATING_VIEW, HEAD  --(no acknowledgement in time, or members change)--> CANDIDATE
+ * ACTIVATING_VIEW, HEAD  --(its disk stalls, or its ballot is rejected)-----> IDLE
+ * CANDIDATE              --(rejected, timed out, or outside the roster)-----> IDLE
+ * all but LEARNER        --(promises a higher ballot)-----------------------> IDLE
+ * all but LEARNER        --(accepts the state of a view it may join)--------> FOLLOWER
+ * IDLE                   --(a heartbeat of the view it last accepted)-------> FOLLOWER
  * </pre>
  */
 public enum MemberRole {
--- a/core/src/main/java/martenloom/core/chain/Membership.java
+++ b/core/src/main/java/martenloom/core/chain/Membership.java
@@ -58,7 +58,7 @@
     private final Map<String, Long> missingSinceUs = new TreeMap<>();
 
     /** Who leaves, with the time at which each said so last. */
-    private final Map<String, Long> leaversHeardUs = new TreeMap<>();
+    private final Map<String, Long> leaversLastContactUs = new TreeMap<>();
 
     /** Those of them whose grace period runs out. */
     private final Set<String> urgentLeavers = new TreeSet<>();
@@ -74,21 +74,21 @@
         minimumRosterSize = members;
     }
 
-    // ---- what it is told
+    // ---- notifications
 
     /** This member heads no view any more: what it had noted as its head is void. */
     void clear() {
         missingSinceUs.clear();
-        leaversHeardUs.clear();
+        leaversLastContactUs.clear();
         urgentLeavers.clear();
     }
 
     /** A view was formed, in which these members said with their promise that they leave. */
     void onViewFormed(Set<String> leaving) {
         newcomers.clear();
-        leaversHeardUs.clear();
+        leaversLastContactUs.clear();
         urgentLeavers.clear();
-        leaving.forEach(address -> leaversHeardUs.put(address, member.nowUs()));
+        leaving.forEach(address -> leaversLastContactUs.put(address, member.nowUs()));
     }
 
     /** Someone outside the chain wants to join. */
@@ -105,7 +105,7 @@
      * runs out.
      */
     void onLeaveRequest(String leaver, boolean urgent) {
-        leaversHeardUs.put(leaver, member.nowUs());
+        leaversLastContactUs.put(leaver, member.nowUs());
         if (urgent) {
             urgentLeavers.add(leaver);
         }
@@ -177,7 +177,7 @@
     }
 
     private boolean isLeaving(String address) {
-        return leaversHeardUs.containsKey(address);
+        return leaversLastContactUs.containsKey(address);
     }
 
     private void refresh() {
@@ -191,9 +191,11 @@
         roster().stream()
                 .filter(address -> !chain().contains(address))
                 .forEach(address -> missingSinceUs.putIfAbsent(address, member.nowUs()));
-        leaversHeardUs.values().removeIf(heard -> member.nowUs() - heard > LEAVER_EXPIRES_US);
+        leaversLastContactUs
+                .values()
+                .removeIf(contactUs -> member.nowUs() - contactUs > LEAVER_EXPIRES_US);
         if (member.departure().isLeaving()) {
-            leaversHeardUs.put(member.address(), member.nowUs());
+            leaversLastContactUs.put(member.address(), member.nowUs());
         }
     }
 
--- a/core/src/main/java/martenloom/core/chain/Replication.java
+++ b/core/src/main/java/martenloom/core/chain/Replication.java
@@ -138,7 +138,7 @@
         if (next.isEmpty()) {
             return;
         }
-        member.contact().heard(member.nowUs());
+        member.contact().onContact(member.nowUs());
         member.persistAccepted(
                 view.ballot(),
                 next.get(),
@@ -167,7 +167,7 @@
     private void accept(ReplicateState replicate, ClusterState state) {
         var view = replicate.view();
         var ballot = view.ballot();
-        member.contact().heardProof(member.nowUs(), 0);
+        member.contact().onMajorityProof(member.nowUs(), 0);
         if (member.accepted().equals(ballot)) {
             if (member.is(MemberRole.FOLLOWER) && member.state().edition() >= state.edition()) {
                 forward(replicate, state);
--- a/core/src/main/java/martenloom/core/chain/RequestPipeline.java
+++ b/core/src/main/java/martenloom/core/chain/RequestPipeline.java
@@ -22,7 +22,7 @@
 
     private record PendingRequest(long number, StampedCommand command) {}
 
-    /** The write that is under way: whose it is, since when, and what its caller is told. */
+    /** The write that is under way: whose it is, since when, and the text of its answer. */
     private record PendingWrite(long request, long sinceUs, String text) {}
 
     private final MemberContext member;
--- a/core/src/main/java/martenloom/core/chain/ViewAnnouncements.java
+++ b/core/src/main/java/martenloom/core/chain/ViewAnnouncements.java
@@ -78,7 +78,7 @@
         }
         member.view().observe(announcement.chain());
         member.observeBallotNumber(announcement.ballot().number());
-        member.contact().heardProof(member.nowUs(), announcement.contactAgeUs());
+        member.contact().onMajorityProof(member.nowUs(), announcement.contactAgeUs());
         if (announcement.edition() > member.committed().edition()
                 && member.nowUs() - snapshotRequestedUs >= SNAPSHOT_INTERVAL_US) {
             snapshotRequestedUs = member.nowUs();
--- a/core/src/main/java/martenloom/core/chain/ViewElection.java
+++ b/core/src/main/java/martenloom/core/chain/ViewElection.java
@@ -47,7 +47,10 @@
 
     // ---- standing for election
 
-    /** A member that follows, or is idle, stands when it has heard of no head for long enough. */
+    /**
+     * A member that follows, or is idle, stands when it was without contact with a head for long
+     * enough.
+     */
     void tickWaiting() {
         var now = member.nowUs();
         var staggerUs = staggerUs();
--- a/core/src/main/java/martenloom/core/chain/ViewState.java
+++ b/core/src/main/java/martenloom/core/chain/ViewState.java
@@ -56,7 +56,7 @@
         return chain;
     }
 
-    /** The newest head known; empty before any was heard of. */
+    /** The newest head known; empty before any is known. */
     String head() {
         return head;
     }
