--- a/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
+++ b/core/src/test/java/martenloom/core/chain/ChainMessageGoldenTest.java
@@ -27,6 +27,13 @@
     /** Each message by its name in the recorded file. */
     private static Map<String, ChainMessage> messages() {
         var messages = new LinkedHashMap<String, ChainMessage>();
+        putElectionMessages(messages);
+        putReplicationMessages(messages);
+        putMessagesOfAHead(messages);
+        return messages;
+    }
+
+    private static void putElectionMessages(Map<String, ChainMessage> messages) {
         messages.put("prepare", new ElectionMessage.Prepare(NEWER, OLDER, EDITION, OLDER));
         messages.put(
                 "prepare, nothing released",
@@ -41,6 +48,9 @@
         messages.put(
                 "answer to prepare, learner",
                 new ElectionMessage.LearnerOffer(NEWER, 0x8123_4567_89ab_cdefL));
+    }
+
+    private static void putReplicationMessages(Map<String, ChainMessage> messages) {
         messages.put(
                 "pass",
                 new ReplicationMessage.ReplicateState(view(), OLDER, List.of(), EDITION, STATE));
@@ -62,6 +72,9 @@
                 new ReplicationMessage.AppendCommand(viewWithLearners(), EDITION, change()));
         messages.put("answer to pass", new ReplicationMessage.ReplicationAck(NEWER, EDITION));
         messages.put("answer to pass, refused", new ElectionMessage.BallotRejected(OLDER, 12));
+    }
+
+    private static void putMessagesOfAHead(Map<String, ChainMessage> messages) {
         messages.put(
                 "heartbeat", new HeartbeatMessage.Heartbeat(NEWER, 77, CHAIN, EDITION, 1_000_000));
         messages.put("answer to heartbeat", new HeartbeatMessage.HeartbeatAck(NEWER, 77));
@@ -71,7 +84,6 @@
         messages.put("pull", new AnnouncementMessage.SnapshotRequest(EDITION));
         messages.put("answer to pull", new AnnouncementMessage.SnapshotResponse(STATE));
         messages.put("handover", new ElectionMessage.HeadHandover(NEWER));
-        return messages;
     }
 
     private static ChainView view() {
--- a/core/src/test/java/martenloom/core/chain/MembershipTest.java
+++ b/core/src/test/java/martenloom/core/chain/MembershipTest.java
@@ -2,6 +2,7 @@
 
 import static martenloom.core.chain.ChainSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -25,8 +26,8 @@
 final class MembershipTest {
     private static final long CATCH_UP_US = 4 * SECOND_US;
 
-    /** A calm core that has grown to all its machines. */
-    private static ChainSimulation core(int members) {
+    /** A calm chain that has grown to all its machines. */
+    private static ChainSimulation calmChain(int members) {
         var simulation = new ChainSimulation(members, members, 3);
         simulation.useFastDisks();
         simulation.runUntil("grown", 40 * SECOND_US, simulation::isComplete);
@@ -71,7 +72,7 @@
     @ParameterizedTest
     @CsvSource({"3, 1", "5, 2", "9, 4"})
     void theDeadAreReplacedAtOnceAndTheNextLossIsBorne(int members, int dead) {
-        var simulation = core(members);
+        var simulation = calmChain(members);
         for (var i = 0; i < dead; i++) {
             simulation.destroy(follower(simulation));
         }
@@ -94,7 +95,7 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 5, 9})
     void threeReplacementsAndALostDiskLeaveAMajority(int members) {
-        var simulation = core(members);
+        var simulation = calmChain(members);
         leaveAndWait(simulation, follower(simulation), true);
         simulation.run(6 * SECOND_US);
         assertTrue(simulation.isComplete(), simulation.toString());
@@ -120,7 +121,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 5, 9})
     void aRestartOfAllInTurnLosesNothingAndEachIsBackInTime(int members) {
-        var simulation = members == 1 ? new ChainSimulation(1, 1, 1) : core(members);
+        var simulation = members == 1 ? new ChainSimulation(1, 1, 1) : calmChain(members);
         simulation.useFastDisks();
         simulation.runUntil("one head", 5 * SECOND_US, simulation::isComplete);
         var longest = 0L;
@@ -146,7 +147,7 @@
      */
     @Test
     void threeBecomeTwoAndOne() {
-        var simulation = core(3);
+        var simulation = calmChain(3);
         for (var left = 3; left > 1; left--) {
             simulation.runUntilAcknowledged(2 * SECOND_US);
             var member = left == 3 ? simulation.heads().get(0) : follower(simulation);
@@ -167,7 +168,7 @@
     /** One is down and was not replaced: a leaver that is needed stays until the other is back. */
     @Test
     void aLeaverThatIsNeededIsNotRemoved() {
-        var simulation = core(3);
+        var simulation = calmChain(3);
         var down = follower(simulation);
         simulation.crash(down);
         down.stayDown();
@@ -190,7 +191,7 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
     void allAtOnceEndWithTheWholeRoster(int members) {
-        var simulation = core(members);
+        var simulation = calmChain(members);
         simulation.runUntilAcknowledged(2 * SECOND_US);
         var newest = simulation.newestAcknowledgedRevision();
         simulation.members().forEach(member -> simulation.shutDown(member, false));
@@ -205,7 +206,7 @@
                 .limit(members / 2)
                 .forEach(
                         member -> {
-                            assertTrue(!member.isUp());
+                            assertFalse(member.isUp());
                             member.eraseDisk();
                         });
         simulation.runUntil("all are back", 4 * CATCH_UP_US, simulation::isComplete);
@@ -225,17 +226,17 @@
         "5, 600, true"
     })
     void overlappingRestartsKeepTheRoster(int members, int pauseMs, boolean mayShrink) {
-        var simulation = core(members);
-        var nodes = simulation.members();
-        for (var node : nodes) {
-            simulation.shutDown(node, false);
+        var simulation = calmChain(members);
+        var machines = simulation.members();
+        for (var machine : machines) {
+            simulation.shutDown(machine, false);
             simulation.run(pauseMs * 1000L);
         }
         var roster = Set.copyOf(simulation.addresses());
         for (var i = 0; i < 3000; i++) {
             simulation.step();
             var rosters =
-                    nodes.stream().filter(SimulatedMember::isUp).map(MembershipTest::rosterAt);
+                    machines.stream().filter(SimulatedMember::isUp).map(MembershipTest::rosterAt);
             assertTrue(mayShrink || rosters.allMatch(roster::equals), simulation.toString());
         }
         assertTrue(simulation.isComplete(), simulation.toString());
@@ -248,7 +249,7 @@
      */
     @Test
     void aWipedMemberIsTheLastOfItsChain() {
-        var simulation = core(5);
+        var simulation = calmChain(5);
         var first = simulation.members().iterator().next();
         simulation.crashAndWipe(first);
         simulation.runUntil("back", 2 * CATCH_UP_US, simulation::isComplete);
@@ -260,7 +261,7 @@
     @ParameterizedTest
     @CsvSource({"3, 150", "3, 700", "5, 150", "5, 700", "5, 1500"})
     void twoLeaveInARow(int members, int pauseMs) {
-        var simulation = core(members);
+        var simulation = calmChain(members);
         simulation.runUntilAcknowledged(2 * SECOND_US);
         var first = simulation.heads().get(0);
         simulation.shutDown(first, true);
@@ -280,7 +281,7 @@
     @ParameterizedTest
     @CsvSource({"3, 1", "5, 2", "9, 3", "9, 4"})
     void whoIsCutOffAndNotReplacedIsNotRemoved(int members, int cutOff) {
-        var simulation = core(members);
+        var simulation = calmChain(members);
         var away = simulation.addresses().stream().limit(cutOff).toList();
         simulation.network().cut(away, simulation.addresses());
         simulation.runUntilAcknowledged(5 * SECOND_US);
@@ -297,7 +298,7 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 5, 9})
     void whoWasRemovedWhileCutOffComesBackAsANewcomer(int members) {
-        var simulation = core(members);
+        var simulation = calmChain(members);
         var away = follower(simulation).address();
         simulation.network().cut(List.of(away), simulation.addresses());
         simulation.runUntilAcknowledged(5 * SECOND_US);
@@ -324,7 +325,7 @@
      */
     @Test
     void anOlderRosterFormsNoChainOfItsOwn() {
-        var simulation = core(3);
+        var simulation = calmChain(3);
         var old = simulation.members();
         for (var member : old) {
             simulation.crash(member);
@@ -356,7 +357,7 @@
     /** A newcomer counts only with a write that it has itself accepted. */
     @Test
     void aNewcomerHoldsTheStateBeforeItCounts() {
-        var simulation = core(3);
+        var simulation = calmChain(3);
         var newcomer = simulation.addMachine();
         simulation.runUntil(
                 "counts",
