--- a/core/src/main/java/martenloom/core/state/Command.java
+++ b/core/src/main/java/martenloom/core/state/Command.java
@@ -3,6 +3,7 @@
 import java.util.Base64;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
 
 /**
  * What a caller asks of the replicated state: a change, or a read that must be linearizable. Every
@@ -232,7 +233,7 @@
 
         /** The job itself, decoded anew at each call. */
         Job job() {
-            return Job.read(decoded(encodedJob));
+            return JobCodec.read(decoded(encodedJob));
         }
     }
 
--- a/core/src/main/java/martenloom/core/state/ConfigurationState.java
+++ b/core/src/main/java/martenloom/core/state/ConfigurationState.java
@@ -69,7 +69,10 @@
         }
         return CommandResult.changed(
                 new ConfigurationState(
-                        result.revision, result.json, result.routingText, applied.with(digest)),
+                        result.revision(),
+                        result.json(),
+                        result.routingText(),
+                        applied.with(digest)),
                 "");
     }
 
--- a/core/src/main/java/martenloom/core/state/JobTable.java
+++ b/core/src/main/java/martenloom/core/state/JobTable.java
@@ -6,6 +6,8 @@
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.jobs.Job;
+import martenloom.common.jobs.JobCodec;
+import martenloom.common.jobs.JobState;
 import martenloom.core.state.Command.AdvanceJobClock;
 import martenloom.core.state.Command.JobCommand;
 import martenloom.core.state.Command.JobRunnerCommand;
@@ -47,7 +49,7 @@
     static final JobTable EMPTY = new JobTable(0, Map.of());
 
     void write(RecordWriter out) {
-        out.i64(clockUs).list(byId.values(), (writer, job) -> job.write(writer));
+        out.i64(clockUs).list(byId.values(), (writer, job) -> JobCodec.write(job, writer));
     }
 
     static JobTable read(RecordReader in) {
@@ -55,20 +57,20 @@
         var jobs = new TreeMap<String, Job>();
         in.list(
                 reader -> {
-                    var job = Job.read(reader);
-                    return jobs.put(job.id, job);
+                    var job = JobCodec.read(reader);
+                    return jobs.put(job.id(), job);
                 });
         return new JobTable(clockUs, jobs);
     }
 
     /** How many jobs wait or run. */
     public long live() {
-        return byId.values().stream().filter(job -> job.state.live()).count();
+        return byId.values().stream().filter(job -> job.state().isLive()).count();
     }
 
     /** The size of all jobs. */
     long bytes() {
-        return byId.values().stream().mapToLong(Job::bytes).sum();
+        return byId.values().stream().mapToLong(Job::sizeBytes).sum();
     }
 
     Optional<Job> find(String id) {
@@ -108,19 +110,19 @@
     /** The result that one job was added or has changed. */
     CommandResult<JobTable> with(Job job, long atUs, String text) {
         var jobs = new TreeMap<>(byId);
-        jobs.put(job.id, job);
+        jobs.put(job.id(), job);
         return CommandResult.changed(new JobTable(clockAt(atUs), jobs), text);
     }
 
     /** A copy of a job that has ended; what only a later run or the result needs is dropped. */
-    Job ended(Job job, Job.State state, String reason, long atUs) {
+    Job ended(Job job, JobState state, String reason, long atUs) {
         var copy = job.copy();
-        copy.state = state;
-        copy.why = reason;
-        copy.endedUs = clockAt(atUs);
-        if (state != Job.State.DONE) {
-            copy.kept = new byte[0];
-            copy.body = new byte[0];
+        copy.setState(state);
+        copy.setReason(reason);
+        copy.setEndedUs(clockAt(atUs));
+        if (state != JobState.DONE) {
+            copy.setCheckpoint(new byte[0]);
+            copy.setBody(new byte[0]);
         }
         return copy;
     }
@@ -130,22 +132,22 @@
         var nowUs = clockAt(atUs);
         var jobs = new TreeMap<String, Job>();
         for (var job : byId.values()) {
-            if (job.state == Job.State.WAITING && nowUs > job.dueUs) {
+            if (job.state() == JobState.WAITING && nowUs > job.deadlineUs()) {
                 var reason = "its due time passed while it waited";
-                jobs.put(job.id, ended(job, Job.State.EXPIRED, reason, atUs));
-            } else if (job.state == Job.State.RUNNING && nowUs > job.dueUs + OVERTIME_US) {
-                jobs.put(job.id, overdue(job, atUs));
-            } else if (job.state.live() || nowUs - job.endedUs < RETENTION_US) {
-                jobs.put(job.id, job);
+                jobs.put(job.id(), ended(job, JobState.EXPIRED, reason, atUs));
+            } else if (job.state() == JobState.RUNNING && nowUs > job.deadlineUs() + OVERTIME_US) {
+                jobs.put(job.id(), overdue(job, atUs));
+            } else if (job.state().isLive() || nowUs - job.endedUs() < RETENTION_US) {
+                jobs.put(job.id(), job);
             }
         }
         return new JobTable(nowUs, jobs);
     }
 
     private Job overdue(Job job, long atUs) {
-        return job.repeatable
-                ? ended(job, Job.State.EXPIRED, "its due time passed while it ran", atUs)
-                : ended(job, Job.State.UNCERTAIN, "no word came from its runner", atUs);
+        return job.retriable()
+                ? ended(job, JobState.EXPIRED, "its due time passed while it ran", atUs)
+                : ended(job, JobState.UNCERTAIN, "no word came from its runner", atUs);
     }
 
     /** All jobs for the operator's shell, one a line. */
--- a/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
+++ b/core/src/test/java/martenloom/core/golden/StoredFolderGoldenTest.java
@@ -70,14 +70,14 @@
         var registry = new Registry(BEAT_US);
         registry.take(replica("running", nowUs), true);
         var warming = replica("warming", nowUs);
-        warming.warmAtUs = nowUs + 9 * SECOND_US;
+        warming.setWarmFromUs(nowUs + 9 * SECOND_US);
         registry.take(warming, true);
         var leaving = replica("draining", nowUs);
-        leaving.draining = true;
-        leaving.leavesAtUs = nowUs + 30 * SECOND_US;
+        leaving.setDraining(true);
+        leaving.setDrainDeadlineUs(nowUs + 30 * SECOND_US);
         registry.take(leaving, true);
         var silent = replica("silent", nowUs - 4 * SECOND_US);
-        silent.silent = true;
+        silent.setUnreachable(true);
         registry.take(silent, true);
         registry.take(replica("ended", nowUs), true);
         registry.bury("ended", nowUs);
@@ -87,13 +87,13 @@
 
     private static ReplicaRecord replica(String id, long heardUs) {
         var replica = new ReplicaRecord();
-        replica.id = id;
-        replica.service = "s";
-        replica.address = "10.0.0.9:8080";
-        replica.zone = "north-a";
-        replica.capacity = 8;
-        replica.seq = 41;
-        replica.heardUs = heardUs;
+        replica.setId(id);
+        replica.setService("s");
+        replica.setAddress("10.0.0.9:8080");
+        replica.setZone("north-a");
+        replica.setCapacity(8);
+        replica.setSequence(41);
+        replica.setLastHeartbeatUs(heardUs);
         return replica;
     }
 
--- a/core/src/test/java/martenloom/core/state/ScalingStateTest.java
+++ b/core/src/test/java/martenloom/core/state/ScalingStateTest.java
@@ -35,7 +35,7 @@
     }
 
     private CommandResult<ClusterState> take(StampedCommand command) {
-        var result = state.decide(command.surveyed(running.text()));
+        var result = state.decide(command.surveyed(running.encode()));
         state = result.next().orElse(state);
         return result;
     }
@@ -65,9 +65,9 @@
     @BeforeEach
     void twoRegionsRunTheModel() {
         assertEquals(ResultCode.OK, codeOf(new ReplaceConfiguration(0, CONFIGURATION)));
-        running.put("s", "north", "n1");
-        running.put("s", "north", "n2");
-        running.put("s", "south", "s1");
+        running.addReplica("s", "north", "n1");
+        running.addReplica("s", "north", "n2");
+        running.addReplica("s", "south", "s1");
     }
 
     @Test
@@ -93,7 +93,7 @@
 
     @Test
     void twoOrdersThatAreEachSafeCannotBothPass() {
-        running.put("s", "west", "w1");
+        running.addReplica("s", "west", "w1");
         var northToken = grant("north", "edge1#1");
         var southToken = grant("south", "edge3#1");
         assertEquals(
@@ -102,7 +102,7 @@
                                 StampedCommand.of(
                                                 new SetReplicaCount(
                                                         "south/m", southToken, 1, "0\ns1"))
-                                        .surveyed(running.text()))
+                                        .surveyed(running.encode()))
                         .code(),
                 "safe alone");
         assertEquals(
@@ -119,7 +119,7 @@
     @Test
     void theOperatorsWordStandsAboveTheScaler() {
         var northToken = grant("north", "edge1#1");
-        running.put("s", "west", "w1");
+        running.addReplica("s", "west", "w1");
         assertEquals(ResultCode.OK, codeOf(unload()));
         var result = take(scale(northToken, DEPLOYMENT, "2"));
         assertEquals(ResultCode.CONFLICT, result.code());
@@ -159,7 +159,7 @@
 
     @Test
     void aLateCopyOfAnUnloadDoesNotActAfterItsLoad() {
-        running.put("s", "west", "w1");
+        running.addReplica("s", "west", "w1");
         var copy = state.accepted(unload());
         assertEquals(ResultCode.OK, codeOf(unload()));
         assertEquals(ResultCode.OK, take(copy).code(), "already so");
@@ -170,7 +170,7 @@
 
     @Test
     void aLoadOfWhatIsNotUnloadedLeavesTheScalersOrderAlone() {
-        running.put("s", "west", "w1");
+        running.addReplica("s", "west", "w1");
         var token = grant("north", "edge#1");
         assertEquals(ResultCode.OK, codeOf(scale(token, DEPLOYMENT, "1\nn2")));
         assertEquals(ResultCode.OK, codeOf(load()));
--- a/edge/src/main/java/martenloom/edge/dispatch/ForwardedHead.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/ForwardedHead.java
@@ -41,6 +41,6 @@
         if (request.isJob()) {
             return request.jobUrgency() >= URGENT ? URGENT_JOB_PRIORITY : JOB_PRIORITY;
         }
-        return Math.min(LAST_INTERACTIVE_PRIORITY, request.route().rank * PRIORITY_STEP);
+        return Math.min(LAST_INTERACTIVE_PRIORITY, request.route().priority() * PRIORITY_STEP);
     }
 }
--- a/edge/src/main/java/martenloom/edge/dispatch/RequestQueues.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RequestQueues.java
@@ -63,7 +63,7 @@
     private void drain(Deque<Request> queue, long nowUs) {
         var waiting = new ArrayList<>(queue);
         waiting.sort(
-                Comparator.comparingInt((Request request) -> request.route().rank)
+                Comparator.comparingInt((Request request) -> request.route().priority())
                         .thenComparingLong(Request::arrivedUs));
         queue.clear();
         for (var request : waiting) {
--- a/edge/src/main/java/martenloom/edge/dispatch/RouteLookup.java
+++ b/edge/src/main/java/martenloom/edge/dispatch/RouteLookup.java
@@ -4,6 +4,7 @@
 import java.util.Optional;
 import martenloom.edge.http.HeaderField;
 import martenloom.edge.http.MessageHead;
+import martenloom.routing.route.Route;
 import martenloom.routing.route.RouteTable;
 
 /** Finds the route of a request by its host and its path. */
@@ -11,7 +12,7 @@
     private RouteLookup() {}
 
     /** The route of a client's request: by its host without the port, else by its host as it is. */
-    static Optional<RouteTable.Route> find(RouteTable table, MessageHead head) {
+    static Optional<Route> find(RouteTable table, MessageHead head) {
         var host = host(head);
         var path = head.path();
         var port = host.indexOf(':');
@@ -20,7 +21,7 @@
     }
 
     /** The route of a deferred job, of which the host is taken as it is. */
-    static Optional<RouteTable.Route> findForJob(RouteTable table, MessageHead head) {
+    static Optional<Route> findForJob(RouteTable table, MessageHead head) {
         return table.find(host(head), head.path());
     }
 
--- a/edge/src/main/java/martenloom/edge/home/HomeCandidates.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeCandidates.java
@@ -29,7 +29,7 @@
     }
 
     private void addSeeds() {
-        settings.seeds.forEach(seed -> cores.add(seed.substring(0, seed.lastIndexOf(':'))));
+        settings.seedNodes().forEach(seed -> cores.add(seed.substring(0, seed.lastIndexOf(':'))));
     }
 
     /**
@@ -51,7 +51,7 @@
         homes.sort(
                 Comparator.<String>comparingInt(core -> isAvoided(core, now) ? 1 : 0)
                         .thenComparing(core -> !isInOwnZone(core))
-                        .thenComparingInt(core -> (core + settings.ip).hashCode()));
+                        .thenComparingInt(core -> (core + settings.ipAddress()).hashCode()));
         return homes;
     }
 
@@ -67,6 +67,7 @@
 
     /** Whether a daemon is in this edge's zone: its addresses share their first three numbers. */
     boolean isInOwnZone(String ip) {
-        return ip.startsWith(settings.ip.substring(0, settings.ip.lastIndexOf('.') + 1));
+        return ip.startsWith(
+                settings.ipAddress().substring(0, settings.ipAddress().lastIndexOf('.') + 1));
     }
 }
--- a/edge/src/main/java/martenloom/edge/home/HomeConnection.java
+++ b/edge/src/main/java/martenloom/edge/home/HomeConnection.java
@@ -9,8 +9,11 @@
 import martenloom.common.clock.Staleness;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.OutgoingPeerLink;
+import martenloom.common.link.PeerLink;
+import martenloom.common.link.PeerLinkHandler;
 import martenloom.common.log.RingLog;
+import martenloom.common.settings.IpPort;
 import martenloom.common.settings.Settings;
 
 /**
@@ -35,10 +38,10 @@
 
     private final Settings settings;
     private final Eventloop loop;
-    private final PeerLinks.Handler handler;
+    private final PeerLinkHandler handler;
     private final Supplier<byte[]> renewal;
     private final HomeCandidates candidates;
-    private Optional<PeerLinks.Dial> home = Optional.empty();
+    private Optional<OutgoingPeerLink> home = Optional.empty();
     private String homeIp = "";
 
     /** The last moment at which the home was picked or its knowledge was fresh, in microseconds. */
@@ -53,7 +56,7 @@
      * A daemon that is asked whether it would be a better home; the present one is kept until it
      * says so.
      */
-    private Optional<PeerLinks.Dial> candidate = Optional.empty();
+    private Optional<OutgoingPeerLink> candidate = Optional.empty();
 
     private String candidateIp = "";
     private long candidateSinceUs;
@@ -65,10 +68,7 @@
      * @param renewal writes the record by which this edge subscribes and renews its subscription
      */
     public HomeConnection(
-            Settings settings,
-            Eventloop loop,
-            PeerLinks.Handler handler,
-            Supplier<byte[]> renewal) {
+            Settings settings, Eventloop loop, PeerLinkHandler handler, Supplier<byte[]> renewal) {
         this.settings = settings;
         this.loop = loop;
         this.handler = handler;
@@ -92,18 +92,18 @@
     }
 
     /** The link to the home while it is up. */
-    public Optional<PeerLinks.Link> link() {
-        return home.flatMap(PeerLinks.Dial::link);
+    public Optional<PeerLink> link() {
+        return home.flatMap(OutgoingPeerLink::link);
     }
 
     /** Whether this is the link to the home. */
-    public boolean isHome(PeerLinks.Link link) {
+    public boolean isHome(PeerLink link) {
         return link().filter(known -> known == link).isPresent();
     }
 
     /** Whether this is the link to the candidate. */
-    public boolean isCandidate(PeerLinks.Link link) {
-        return candidate.flatMap(PeerLinks.Dial::link).filter(known -> known == link).isPresent();
+    public boolean isCandidate(PeerLink link) {
+        return candidate.flatMap(OutgoingPeerLink::link).filter(known -> known == link).isPresent();
     }
 
     /** Sends a record to the home; it is lost when the link is down. */
@@ -140,8 +140,8 @@
         }
     }
 
-    private void renewOn(PeerLinks.Link link, long now) {
-        if (now - link.heardUs > UNRESPONSIVE_US) {
+    private void renewOn(PeerLink link, long now) {
+        if (now - link.lastReceivedUs() > UNRESPONSIVE_US) {
             leaveHome("unresponsive");
             return;
         }
@@ -180,10 +180,10 @@
         }
     }
 
-    private PeerLinks.Dial dial(String ip) {
-        return new PeerLinks.Dial(
+    private OutgoingPeerLink dial(String ip) {
+        return new OutgoingPeerLink(
                 loop,
-                Settings.address("home", ip + ":" + settings.portLow),
+                IpPort.parse("home", ip + ":" + settings.firstInternalPort()),
                 REDIAL_US,
                 link -> link.send(renewal.get()),
                 handler);
@@ -203,10 +203,10 @@
     }
 
     private void leaveHome(String reason) {
-        RingLog.note("home " + homeIp + " is left: " + reason);
+        RingLog.debug("home " + homeIp + " is left: " + reason);
         candidates.avoid(homeIp, Clocks.nowUs());
         dropCandidate();
-        home.ifPresent(PeerLinks.Dial::stop);
+        home.ifPresent(OutgoingPeerLink::stop);
         pickHome();
     }
 
@@ -232,12 +232,12 @@
     }
 
     private void dropCandidate() {
-        candidate.ifPresent(PeerLinks.Dial::stop);
+        candidate.ifPresent(OutgoingPeerLink::stop);
         candidate = Optional.empty();
     }
 
     private void passOverCandidate(String reason) {
-        RingLog.note("home " + homeIp + " is kept: " + candidateIp + " is " + reason);
+        RingLog.debug("home " + homeIp + " is kept: " + candidateIp + " is " + reason);
         candidates.avoid(candidateIp, Clocks.nowUs());
         dropCandidate();
     }
@@ -247,7 +247,7 @@
      * is asked for.
      */
     private void takeCandidate() {
-        RingLog.note("home " + homeIp + " is left for " + candidateIp);
+        RingLog.debug("home " + homeIp + " is left for " + candidateIp);
         candidates.avoid(homeIp, Clocks.nowUs());
         var old = home;
         home = candidate;
@@ -255,7 +255,7 @@
         homePickedUs = Clocks.nowUs();
         homeFreshUs = homePickedUs;
         candidate = Optional.empty();
-        old.ifPresent(PeerLinks.Dial::stop);
+        old.ifPresent(OutgoingPeerLink::stop);
         requestWholeState();
     }
 }
--- a/edge/src/main/java/martenloom/edge/load/ClusterLoadView.java
+++ b/edge/src/main/java/martenloom/edge/load/ClusterLoadView.java
@@ -63,7 +63,7 @@
 
     /** Whether the total is fresh and of most edges, so that low numbers in it can be relied on. */
     public boolean isReliable(int knownEdges, long now) {
-        return now - totalAtUs < FRESH_US && total.edges() * 3 >= knownEdges * 2;
+        return now - totalAtUs < FRESH_US && total.edgeCount() * 3 >= knownEdges * 2;
     }
 
     /** The record with the sample of this turn, if it is to be sent. */
@@ -107,15 +107,15 @@
         var inFlight = replica.load().ownInFlight();
         if (inFlight > 0 || suspicion || failures + successes > 0) {
             var load =
-                    sample.put(
+                    sample.addReplica(
                             replica.id(),
                             inFlight,
                             replica.load().ownPendingPrefillTokens(),
                             suspicion);
-            load.ok = successes;
-            load.bad = failures;
+            load.setSuccesses(successes);
+            load.setFailures(failures);
             var heardLately = now - replica.reachability().heardUs() < HEARD_LATELY_US;
-            load.heard = !suspicion && heardLately ? 1 : 0;
+            load.setHearingEdges(!suspicion && heardLately ? 1 : 0);
         }
     }
 
@@ -132,17 +132,23 @@
     }
 
     private void applyTotal(ReplicaEndpoint replica, LoadSummary own, LoadSummary zone, long now) {
-        var all = total.load(replica.id());
-        var ours = own.load(replica.id());
-        var inZone = zone.load(replica.id());
+        var all = total.replicaLoad(replica.id());
+        var ours = own.replicaLoad(replica.id());
+        var inZone = zone.replicaLoad(replica.id());
         replica.onPeerTotals(
-                all.inHand - ours.inHand,
-                all.unread - ours.unread,
-                inZone.doubts - ours.doubts,
-                inZone.heard - ours.heard,
+                all.inFlight() - ours.inFlight(),
+                all.pendingPrefillTokens() - ours.pendingPrefillTokens(),
+                inZone.suspectingEdges() - ours.suspectingEdges(),
+                inZone.hearingEdges() - ours.hearingEdges(),
                 now);
-        if (all.bad > 0) {
-            replicaTable.ejectIfOutlier(replica, all.ok, all.bad, inZone.ok, inZone.bad, now);
+        if (all.failures() > 0) {
+            replicaTable.ejectIfOutlier(
+                    replica,
+                    all.successes(),
+                    all.failures(),
+                    inZone.successes(),
+                    inZone.failures(),
+                    now);
         }
     }
 }
--- a/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
+++ b/edge/src/main/java/martenloom/edge/replica/ReplicaEndpoint.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.IpPort;
 import martenloom.edge.transport.ReplicaConnection;
 
 /**
@@ -38,7 +38,7 @@
         this.region = region;
         this.tieBreakCostUs = tieBreakCostUs;
         this.latency = latency;
-        address = Settings.address("Address", registration.address);
+        address = IpPort.parse("Address", registration.address());
         reachability = new Reachability(now);
     }
 
@@ -49,28 +49,28 @@
 
     /** Takes a newer record; a replica that was deregistered stays so. */
     void register(ReplicaRecord newer) {
-        var wasDeregistered = registration.gone;
+        var wasDeregistered = registration.ended();
         registration = newer;
-        registration.gone |= wasDeregistered;
+        registration.setEnded(registration.ended() | wasDeregistered);
     }
 
     void deregister() {
-        registration.gone = true;
+        registration.setEnded(true);
     }
 
     /** The id of this incarnation. */
     public String id() {
-        return registration.id;
+        return registration.id();
     }
 
     /** The service that it serves. */
     public String service() {
-        return registration.service;
+        return registration.service();
     }
 
     /** Its zone. */
     public String zone() {
-        return registration.zone;
+        return registration.zone();
     }
 
     /** The region of its zone. */
@@ -85,32 +85,32 @@
 
     /** How many requests it serves at a time. */
     public int capacity() {
-        return registration.capacity;
+        return registration.capacity();
     }
 
     /** Whether it takes no new requests and finishes what it has. */
     public boolean isDraining() {
-        return registration.draining;
+        return registration.draining();
     }
 
     /** Whether it was deregistered. */
     public boolean isDeregistered() {
-        return registration.gone;
+        return registration.ended();
     }
 
     /** Whether the registry no longer gets its heartbeats. */
     public boolean isUnresponsive() {
-        return registration.silent;
+        return registration.unreachable();
     }
 
     /** Whether it is neither draining nor unresponsive by the registry. */
     public boolean isAvailable() {
-        return !registration.draining && !registration.silent;
+        return !registration.draining() && !registration.unreachable();
     }
 
     /** Whether it has warmed up. */
     public boolean isWarm(long now) {
-        return warmup.isWarm(registration.warmAtUs, now);
+        return warmup.isWarm(registration.warmFromUs(), now);
     }
 
     /** Whether the scaler has unloaded it: it gets no new prompts and finishes what it has. */
@@ -233,7 +233,7 @@
 
     @Override
     public boolean keepsIdleConnections() {
-        return !registration.gone && !registration.draining;
+        return !registration.ended() && !registration.draining();
     }
 
     @Override
--- a/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
+++ b/edge/src/main/java/martenloom/edge/subscription/EdgeSubscription.java
@@ -6,7 +6,7 @@
 import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.fleet.ReplicaRecord;
-import martenloom.common.link.PeerLinks;
+import martenloom.common.link.PeerLink;
 import martenloom.common.log.RingLog;
 import martenloom.common.settings.Settings;
 import martenloom.edge.dispatch.RequestDispatcher;
@@ -70,7 +70,7 @@
     // ---- responses to renewals
 
     /** Takes the response of the home, or of the candidate, to a renewal. */
-    public void onResponse(PeerLinks.Link link, RecordReader in) {
+    public void onResponse(PeerLink link, RecordReader in) {
         var now = Clocks.nowUs();
         var sentUs = in.i64();
         var homeUpUs = in.i64();
@@ -124,11 +124,11 @@
         var complete =
                 knowsAllServices()
                         && home.isSynced()
-                        && homeUpUs > settings.beatMs * HOME_UP_US_PER_HEARTBEAT_MS;
+                        && homeUpUs > settings.heartbeatIntervalMs() * HOME_UP_US_PER_HEARTBEAT_MS;
         if (readiness.becomeReadyIf(complete, now)) {
-            RingLog.say(
+            RingLog.info(
                     "edge "
-                            + settings.name
+                            + settings.nodeName()
                             + " ready, revision "
                             + configuration.revision()
                             + ", "
@@ -139,7 +139,7 @@
     }
 
     private boolean knowsAllServices() {
-        return dispatcher.table().services.keySet().stream()
+        return dispatcher.table().services().keySet().stream()
                 .noneMatch(service -> replicaTable.ofService(service).isEmpty());
     }
 
@@ -154,7 +154,7 @@
         if (all) {
             home.onSynced();
             var known = new HashSet<String>();
-            replicas.forEach(replica -> known.add(replica.id));
+            replicas.forEach(replica -> known.add(replica.id()));
             removeUnknown(known, now);
         }
     }
--- a/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
@@ -16,7 +16,7 @@
 import martenloom.common.fleet.DigestRanges;
 import martenloom.common.fleet.EdgeRecord;
 import martenloom.common.fleet.RecordType;
-import martenloom.common.settings.Settings;
+import martenloom.common.settings.SettingsFile;
 import martenloom.launcher.harness.TestCluster;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -49,16 +49,16 @@
 
     private static byte[] renewal(long sequence, boolean leaving, List<String> duties) {
         var edge = new EdgeRecord();
-        edge.ip = EDGE_IP;
-        edge.name = "edge-plain";
-        edge.zone = "north-a";
-        edge.region = "north";
-        edge.front = EDGE_IP + ":8000";
-        edge.ready = !leaving;
-        edge.leaving = leaving;
-        edge.life = 42;
-        edge.seq = sequence;
-        edge.revision = 3;
+        edge.setIp(EDGE_IP);
+        edge.setName("edge-plain");
+        edge.setZone("north-a");
+        edge.setRegion("north");
+        edge.setFrontendAddress(EDGE_IP + ":8000");
+        edge.setReady(!leaving);
+        edge.setDraining(leaving);
+        edge.setIncarnation(42);
+        edge.setSequence(sequence);
+        edge.setConfigurationRevision(3);
         var out = new RecordWriter(RecordType.EDGE_LEASE_RENEWAL);
         edge.write(out, 0);
         return out.i64(STAMP_US + sequence)
@@ -169,7 +169,7 @@
     }
 
     private static int internalPort(TestCluster cluster) {
-        return Settings.parse(cluster.settingsText(0)).portLow;
+        return SettingsFile.parse(cluster.settingsText(0)).firstInternalPort();
     }
 
     private static void prepare(TestCluster cluster) {
