--- a/core/src/main/java/martenloom/core/CoreDaemon.java
+++ b/core/src/main/java/martenloom/core/CoreDaemon.java
@@ -54,7 +54,7 @@
 /**
  * The core program: puts the chain, its disk, the registry and the control API on one reactor,
  * passes every record to the part that it is for, and turns the clock of the parts. The chain's
- * commands are carried out here and nowhere else. Runs on the reactor thread, but for {@link
+ * effects are carried out here and nowhere else. Runs on the reactor thread, but for {@link
  * #leave}.
  */
 public final class CoreDaemon implements PeerLinkHandler {
@@ -274,25 +274,25 @@
         peers.sendHello();
     }
 
-    // ---- the chain's commands
+    // ---- the chain's effects
 
     private void carryOut() {
-        for (var commands = chain.drainEffects();
-                !commands.isEmpty();
-                commands = chain.drainEffects()) {
-            commands.forEach(this::carryOut);
+        for (var effects = chain.drainEffects();
+                !effects.isEmpty();
+                effects = chain.drainEffects()) {
+            effects.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainEffect command) {
-        if (command instanceof ChainEffect.SendMessage send) {
+    private void carryOut(ChainEffect effect) {
+        if (effect instanceof ChainEffect.SendMessage send) {
             peers.dial(send.to());
             peers.send(send.to(), send.record());
-        } else if (command instanceof ChainEffect.PersistState write) {
+        } else if (effect instanceof ChainEffect.PersistState write) {
             keep(write);
-        } else if (command instanceof ChainEffect.CompleteRequest answer) {
+        } else if (effect instanceof ChainEffect.CompleteRequest answer) {
             orders.onDecided(answer);
-        } else if (command instanceof ChainEffect.StateCommitted committed) {
+        } else if (effect instanceof ChainEffect.StateCommitted committed) {
             onCommitted(committed.state());
         }
     }
--- a/core/src/main/java/martenloom/core/chain/PersistentMemberState.java
+++ b/core/src/main/java/martenloom/core/chain/PersistentMemberState.java
@@ -24,7 +24,11 @@
         return out.blob(state.bytes()).bytes();
     }
 
-    /** Reads the form on disk; throws what the codec throws when it is not whole. */
+    /**
+     * Reads the form on disk.
+     *
+     * @throws martenloom.common.error.MalformedRecordException when it is cut short
+     */
     public static PersistentMemberState decode(byte[] bytes) {
         var in = new RecordReader(bytes, false);
         return new PersistentMemberState(
--- a/simulation/src/main/java/martenloom/simulation/Process.java
+++ b/simulation/src/main/java/martenloom/simulation/Process.java
@@ -289,27 +289,27 @@
     }
 
     private void carryOut() {
-        for (var commands = chain.drainEffects();
-                !commands.isEmpty();
-                commands = chain.drainEffects()) {
-            commands.forEach(this::carryOut);
+        for (var effects = chain.drainEffects();
+                !effects.isEmpty();
+                effects = chain.drainEffects()) {
+            effects.forEach(this::carryOut);
         }
     }
 
-    private void carryOut(ChainEffect command) {
-        if (command instanceof ChainEffect.SendMessage send) {
+    private void carryOut(ChainEffect effect) {
+        if (effect instanceof ChainEffect.SendMessage send) {
             send(send.to(), send.record());
-        } else if (command instanceof ChainEffect.PersistState store) {
+        } else if (effect instanceof ChainEffect.PersistState store) {
             stores.add(store);
             if (stores.size() == 1) {
                 beginStore();
             }
-        } else if (command instanceof ChainEffect.CompleteRequest answer) {
+        } else if (effect instanceof ChainEffect.CompleteRequest answer) {
             if (answer.code() == ResultCode.OK) {
                 environment.invariants().acknowledged(chain.view(), address(), startedUs);
             }
             orders.onChainAnswer(answer);
-        } else if (command instanceof ChainEffect.StateCommitted committed) {
+        } else if (effect instanceof ChainEffect.StateCommitted committed) {
             environment.invariants().committed(address(), committed.state());
         }
     }
