--- a/launcher/src/test/java/martenloom/launcher/CommandsTest.java
+++ b/launcher/src/test/java/martenloom/launcher/CommandsTest.java
@@ -14,7 +14,9 @@
 import java.util.List;
 import java.util.Map;
 import martenloom.common.error.MartenloomException;
+import martenloom.common.log.RingLog;
 import martenloom.common.settings.SettingsFile;
+import martenloom.launcher.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -37,12 +39,12 @@
             [Bounds]
             DrainMs = 2500
             """;
-    @TempDir Path dir;
+    @TempDir private Path dir;
 
     private static String refused(String... args) {
-        var f = assertThrows(MartenloomException.class, () -> Commands.run(args));
-        assertFalse(f.getMessage().contains("\n"));
-        return f.code() + " " + f.getMessage();
+        var failure = assertThrows(MartenloomException.class, () -> Commands.run(args));
+        assertFalse(failure.getMessage().contains("\n"));
+        return failure.code() + " " + failure.getMessage();
     }
 
     private String file(String name, String text) throws IOException {
@@ -63,12 +65,12 @@
                                 "Zones",
                                 "Zones = 3")
                         .entrySet()) {
-            var t =
+            var text =
                     bad.getKey().equals("Zones")
                             ? bad.getValue() + "\n" + GOOD.replace("[Zones]", "[Other]")
                             : GOOD.replaceAll("(?m)^" + bad.getKey() + " .*$", bad.getValue());
             assertTrue(
-                    refused("check-settings", file("b.toml", t)).contains(bad.getKey()),
+                    refused("check-settings", file("b.toml", text)).contains(bad.getKey()),
                     bad.getKey());
         }
         assertTrue(
@@ -122,64 +124,49 @@
                         .contains("takes no arguments"));
     }
 
+    private int checkPlacement(String name, String text) throws IOException {
+        return Commands.run(new String[] {"check-placement", file(name, text)});
+    }
+
+    private static String change(String more) {
+        return ",\"Change\":{\"Model\":\"m\",\"Region\":\"north\"" + more + "}}";
+    }
+
+    private static String configuredAndRunning() {
+        return "{\"Configuration\":"
+                + TestConfiguration.of(3)
+                + ",\"Running\":[{\"Backend\":\"model\",\"Region\":\"north\",\"Replicas\":[\"a\",\"b\"]},{\"Backend\":\"model\",\"Region\":\"south\",\"Replicas\":[\"c\"]}]";
+    }
+
     @Test
     void placementsAreCheckedBeforeTheyGoLive() throws IOException {
-        var running =
-                ",\"Running\":[{\"Backend\":\"model\",\"Region\":\"north\",\"Replicas\":[\"a\",\"b\"]},{\"Backend\":\"model\",\"Region\":\"south\",\"Replicas\":[\"c\"]}]";
-        var f =
-                "{\"Configuration\":"
-                        + martenloom.launcher.harness.TestCluster.configuration(3, "")
-                        + running;
-        assertEquals(0, Commands.run(new String[] {"check-placement", file("p1.json", f + "}")}));
-        assertEquals(
-                0,
-                Commands.run(
-                        new String[] {
-                            "check-placement",
-                            file(
-                                    "p2.json",
-                                    f
-                                            + ",\"Change\":{\"Model\":\"m\",\"Region\":\"north\",\"Replicas\":[\"a\"]}}")
-                        }));
+        var configured = configuredAndRunning();
+        assertEquals(0, checkPlacement("p1.json", configured + "}"));
+        assertEquals(0, checkPlacement("p2.json", configured + change(",\"Replicas\":[\"a\"]")));
         var out = new ByteArrayOutputStream();
-        var was = System.out;
+        var standardOut = System.out;
         System.setOut(new PrintStream(out));
         try {
-            assertEquals(
-                    1,
-                    Commands.run(
-                            new String[] {
-                                "check-placement",
-                                file(
-                                        "p3.json",
-                                        f + ",\"Change\":{\"Model\":\"m\",\"Region\":\"north\"}}")
-                            }));
+            assertEquals(1, checkPlacement("p3.json", configured + change("")));
         } finally {
-            System.setOut(was);
+            System.setOut(standardOut);
         }
         assertEquals(
                 "refused: model 'm' would run nowhere if region 'south' were lost",
                 out.toString().strip());
+    }
+
+    @Test
+    void unusablePlacementsAreRefusedWithTheReason() throws IOException {
+        var unknown = configuredAndRunning() + change("").replace("\"m\"", "\"x\"");
         assertTrue(
-                refused(
-                                "check-placement",
-                                file(
-                                        "p4.json",
-                                        f + ",\"Change\":{\"Model\":\"x\",\"Region\":\"north\"}}"))
+                refused("check-placement", file("p4.json", unknown))
                         .contains("model 'x' is unknown"));
         assertTrue(
                 refused("check-placement", file("p5.json", "{\"Configuration\":"))
                         .startsWith("CONFIGURATION"));
-        assertTrue(
-                refused(
-                                "check-placement",
-                                file(
-                                        "p6.json",
-                                        "{\"Configuration\":"
-                                                + martenloom.launcher.harness.TestCluster
-                                                        .configuration(3, "")
-                                                + "}"))
-                        .contains("Running"));
+        var withoutRunning = "{\"Configuration\":" + TestConfiguration.of(3) + "}";
+        assertTrue(refused("check-placement", file("p6.json", withoutRunning)).contains("Running"));
         assertTrue(refused("check-placement").startsWith("USAGE"));
         assertTrue(refused("check-placement", "--at", "127.0.0.1:1", "north").startsWith("USAGE"));
     }
@@ -187,7 +174,7 @@
     @Test
     void scalingInAConfigurationIsCheckedByModelFieldAndRange() throws IOException {
         var good =
-                martenloom.launcher.harness.TestCluster.configuration(3, "")
+                TestConfiguration.of(3)
                         .replaceFirst(
                                 "\\{",
                                 "{\"Autoscaling\":[{\"Name\":\"m\",\"WindowS\":10,\"MinReplicas\":2}],");
@@ -209,24 +196,24 @@
 
     @Test
     void changedSettingsAreTakenOverAndUnusableOnesArePassedOver() throws IOException {
-        var p = SettingsFile.parse(GOOD);
-        var f = Path.of(file("h.toml", GOOD.replace("DrainMs = 2500", "DrainMs = 2600")));
-        var watcher = new SettingsWatcher(p, f, GOOD);
+        var settings = SettingsFile.parse(GOOD);
+        var file = Path.of(file("h.toml", GOOD.replace("DrainMs = 2500", "DrainMs = 2600")));
+        var watcher = new SettingsWatcher(settings, file, GOOD);
         watcher.reloadIfChanged();
-        assertEquals(2600, p.bounds().drainTimeoutMs());
+        assertEquals(2600, settings.bounds().drainTimeoutMs());
         for (var bad : List.of("DrainMs = \"x\"", "DrainMs = [")) {
-            Files.writeString(f, GOOD.replace("DrainMs = 2500", bad));
+            Files.writeString(file, GOOD.replace("DrainMs = 2500", bad));
             watcher.reloadIfChanged();
-            assertEquals(2600, p.bounds().drainTimeoutMs(), "the old goes on");
+            assertEquals(2600, settings.bounds().drainTimeoutMs(), "the old goes on");
             var said =
-                    Arrays.stream(martenloom.common.log.RingLog.recent(20).split("\n"))
-                            .filter(l -> l.contains("settings changed and are not usable"))
+                    Arrays.stream(RingLog.recent(20).split("\n"))
+                            .filter(line -> line.contains("settings changed and are not usable"))
                             .toList();
             assertFalse(said.isEmpty(), "said in one line");
         }
-        Files.delete(f);
+        Files.delete(file);
         watcher.reloadIfChanged();
-        assertEquals(2600, p.bounds().drainTimeoutMs());
+        assertEquals(2600, settings.bounds().drainTimeoutMs());
     }
 
     @Test
@@ -235,10 +222,7 @@
                 0,
                 Commands.run(
                         new String[] {
-                            "check-configuration",
-                            file(
-                                    "s.json",
-                                    martenloom.launcher.harness.TestCluster.configuration(3, ""))
+                            "check-configuration", file("s.json", TestConfiguration.of(3))
                         }));
         assertTrue(
                 refused("check-configuration", file("c.json", "{\"Revision\":"))
@@ -261,10 +245,10 @@
 
     @Test
     void aChangedFileGivesNewSeedsAndBounds() {
-        var p = SettingsFile.parse(GOOD);
-        p.adoptReloadable(
+        var settings = SettingsFile.parse(GOOD);
+        settings.adoptReloadable(
                 SettingsFile.parse(GOOD.replace("2500", "900").replace("10.1.0.13", "10.9.0.1")));
-        assertEquals(900, p.bounds().drainTimeoutMs());
-        assertEquals(List.of("10.9.0.1:8166"), p.seedNodes());
+        assertEquals(900, settings.bounds().drainTimeoutMs());
+        assertEquals(List.of("10.9.0.1:8166"), settings.seedNodes());
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/DataPathTest.java
+++ b/launcher/src/test/java/martenloom/launcher/DataPathTest.java
@@ -8,243 +8,245 @@
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.Comparator;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Function;
+import martenloom.launcher.harness.EventStream;
+import martenloom.launcher.harness.HttpReply;
+import martenloom.launcher.harness.Prompts;
+import martenloom.launcher.harness.ReplicaFault;
+import martenloom.launcher.harness.ReplicaRequest;
 import martenloom.launcher.harness.StandInReplica;
 import martenloom.launcher.harness.TestCluster;
+import martenloom.launcher.harness.TestConfiguration;
 import martenloom.launcher.harness.TestHttpClient;
-import org.junit.jupiter.api.AfterAll;
+import martenloom.launcher.harness.TestRoute;
+import org.junit.jupiter.api.AutoClose;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The rules on time, on clients that leave, and on answers of odd shapes, from a client's socket to
- * a replica's.
+ * The rules on deadlines, on clients that disconnect, and on responses of unusual framing, from a
+ * client's socket to a replica's.
  */
 final class DataPathTest {
-    private static final String MODEL =
-            "X-Model: m\r\nX-Token-Usage: 10,40\r\nX-Prompt-Prefix: 5c1e07a2:4,91bd3f06:6\r\n";
-    private static final int TIMEOUT_MS = 1000;
+    private static final String PROMPT = Prompts.ofTokens(10, "5c1e07a2:4,91bd3f06:6");
+    private static final int TIMEOUT_MS = 1_000;
+    private static final int CLIENT_TIMEOUT_MS = 8_000;
+    private static final int TOLERANCE_MS = 100;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long TIMEOUT_NS = TIMEOUT_MS * NS_PER_MS;
     private static final long HALF_SECOND_NS = 500_000_000L;
-    private static TestCluster t;
-    private static StandInReplica a;
-    private static StandInReplica b;
-    private static StandInReplica m1;
-    private static StandInReplica m2;
-    @TempDir static Path dir;
+    private static final int SIGNAL_TIMEOUT_S = 15;
+    private static final int REQUESTS = 6;
+    private static final int MORE_REQUESTS = 20;
+    private static final int SLOW_BODY_BYTES = 2_000;
+    private static final int LAST_BYTES = 1_000;
+    private static final int LARGE_BODY_BYTES = 99_000;
+
+    @AutoClose private static TestCluster cluster;
+    @TempDir private static Path dir;
 
     @BeforeAll
-    static void open() {
-        t = new TestCluster(dir, 131, 3);
-        a = t.replica("i-a", "plain", 0);
-        b = t.replica("i-b", "plain", 0);
-        m1 = t.replica("i-m1", "model", 0);
-        m2 = t.replica("i-m2", "model", 0);
-        t.startEdge(0);
-        t.startEdge(1);
+    static void startCluster() {
+        cluster =
+                TestCluster.in(dir)
+                        .replicas("plain", 0, "i-a", "i-b")
+                        .replicas("model", 0, "i-m1", "i-m2")
+                        .edges(0, 1)
+                        .withoutConfiguration()
+                        .start();
         assertEquals(
                 503,
-                t.request(1, "/safe/x", "early", "", "").status,
+                cluster.request(1, "/safe/x", "early").status(),
                 "an edge that knows no configuration denies nothing");
-        var quick =
-                ","
-                        + TestCluster.route(
-                                "quick", "/quick/", "idempotent", "plain", 2, false, "", TIMEOUT_MS)
-                        + ","
-                        + TestCluster.route(
-                                "quickonce",
-                                "/quickonce/",
-                                "non_idempotent",
-                                "plain",
-                                1,
-                                false,
-                                "",
-                                TIMEOUT_MS)
-                        + ","
-                        + TestCluster.route(
-                                "quickstream",
-                                "/qs/",
-                                "streaming",
-                                "model",
-                                1,
-                                false,
-                                "",
-                                TIMEOUT_MS);
-        assertEquals(
-                200,
-                t.order("POST /configuration/replace", "0", TestCluster.configuration(3, quick)));
-        t.awaitReady(0, 1);
+        var configuration =
+                TestConfiguration.of(
+                        3,
+                        quick("quick", "/quick/", "idempotent", "plain", 2),
+                        quick("quickonce", "/quickonce/", "non_idempotent", "plain", 1),
+                        quick("quickstream", "/qs/", "streaming", "model", 1));
+        assertEquals(200, cluster.control().replaceConfiguration(0, configuration));
+        cluster.awaitReady(0, 1);
     }
 
-    @AfterAll
-    static void close() {
-        t.close();
+    private static TestRoute quick(
+            String name, String prefix, String type, String service, int maxAttempts) {
+        return new TestRoute(name, prefix, type, service, maxAttempts).withTimeoutMs(TIMEOUT_MS);
     }
 
     @BeforeEach
-    void well() {
-        all(StandInReplica.Mode.WELL);
-        t.replicas.forEach(r -> r.resume = new CountDownLatch(1));
-        t.askUntil(t.edge(0), "replicas", "i-m2");
+    void clearFaults() {
+        cluster.faultOfAll(ReplicaFault.NONE);
+        cluster.replicas().forEach(StandInReplica::haltAgain);
+        cluster.askUntil(cluster.edge(0), "replicas", "i-m2");
     }
 
-    private static void all(StandInReplica.Mode m) {
-        t.replicas.forEach(r -> r.mode = m);
+    private static void faultOfPlain(ReplicaFault fault) {
+        cluster.replica("i-a").fault(fault);
+        cluster.replica("i-b").fault(fault);
     }
 
-    private static int ran(String attempt) {
-        return t.replicas.stream().mapToInt(r -> r.ran(attempt)).sum();
+    /** The moment, by nanoTime, at which a signal first comes from any replica. */
+    private static long awaitFirst(Function<StandInReplica, CompletableFuture<Long>> signal) {
+        var signals = cluster.replicas().stream().map(signal).toArray(CompletableFuture[]::new);
+        var first = CompletableFuture.anyOf(signals);
+        return (long) first.orTimeout(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS).join();
     }
 
-    /** The moment of what comes about first at any replica. */
-    private static long first(String what) {
-        var all = t.replicas.stream().map(r -> r.signal(what)).toArray(CompletableFuture[]::new);
-        return (long) CompletableFuture.anyOf(all).orTimeout(15, TimeUnit.SECONDS).join();
+    private static List<ReplicaRequest> received(String attempt) {
+        return cluster.replicas().stream()
+                .flatMap(replica -> replica.received(attempt).stream())
+                .toList();
     }
 
-    private static List<Map<String, String>> sends(String attempt) {
-        return t.replicas.stream()
-                .flatMap(r -> r.sends.getOrDefault(attempt, List.of()).stream())
-                .toList();
+    private static String promptFor(String path) {
+        return path.contains("stream") ? PROMPT : "";
     }
 
-    // ---- clients that leave
+    // ---- clients that disconnect
 
-    private static void leavesWhileAReplicaWorks(
-            StandInReplica.Mode mode, String path, String attempt, String behind)
+    private static void disconnectWhileExecuted(ReplicaFault fault, String path, String attempt)
             throws IOException {
-        all(mode);
-        try (var s = TestHttpClient.open(t.front(0))) {
-            s.getOutputStream()
-                    .write(
-                            TestHttpClient.request(
-                                    path, attempt, path.contains("stream") ? MODEL : "", "p"));
-            s.getOutputStream().write(behind.getBytes());
-            first("halted " + attempt);
-            s.shutdownOutput();
-            var left = System.nanoTime();
-            assertTrue(first("left " + attempt) - left < HALF_SECOND_NS, mode + " " + path);
+        disconnectWhileExecuted(fault, path, attempt, "");
+    }
+
+    private static void disconnectWhileExecuted(
+            ReplicaFault fault, String path, String attempt, String pipelined) throws IOException {
+        cluster.faultOfAll(fault);
+        try (var socket = TestHttpClient.open(cluster.front(0))) {
+            var out = socket.getOutputStream();
+            out.write(TestHttpClient.request(path, attempt, promptFor(path), "p"));
+            out.write(pipelined.getBytes(StandardCharsets.ISO_8859_1));
+            awaitFirst(replica -> replica.halted(attempt));
+            socket.shutdownOutput();
+            var disconnectedNs = System.nanoTime();
+            assertTrue(
+                    awaitFirst(replica -> replica.left(attempt)) - disconnectedNs < HALF_SECOND_NS,
+                    fault + " " + path);
         }
-        assertEquals(1, sends(attempt).size());
+        assertEquals(1, received(attempt).size());
     }
 
     @Test
-    void aClientThatLeavesEndsItsRunInEveryState() throws IOException {
-        leavesWhileAReplicaWorks(StandInReplica.Mode.SILENT, "/safe/x", "g1", "");
-        leavesWhileAReplicaWorks(StandInReplica.Mode.SILENT, "/once/x", "g2", "");
-        leavesWhileAReplicaWorks(StandInReplica.Mode.SILENT, "/o/stream", "g3", "");
-        leavesWhileAReplicaWorks(StandInReplica.Mode.STALL, "/o/stream", "g4", "");
-        leavesWhileAReplicaWorks(StandInReplica.Mode.STALL, "/r/stream", "g5", "");
-        leavesWhileAReplicaWorks(
-                StandInReplica.Mode.SILENT,
+    void aClientThatDisconnectsEndsItsExecutionInEveryState() throws IOException {
+        disconnectWhileExecuted(ReplicaFault.SILENT, "/safe/x", "g1");
+        disconnectWhileExecuted(ReplicaFault.SILENT, "/once/x", "g2");
+        disconnectWhileExecuted(ReplicaFault.SILENT, "/o/stream", "g3");
+        disconnectWhileExecuted(ReplicaFault.STALL, "/o/stream", "g4");
+        disconnectWhileExecuted(ReplicaFault.STALL, "/r/stream", "g5");
+        var next = TestHttpClient.request("/safe/x", "g6next", "", "p");
+        disconnectWhileExecuted(
+                ReplicaFault.SILENT,
                 "/safe/x",
                 "g6",
-                new String(TestHttpClient.request("/safe/x", "g6next", "", "p")));
-        leavesWhileAReplicaWorks(StandInReplica.Mode.FLOOD, "/o/stream", "g7", "");
-        assertEquals(0, ran("g6next"));
+                new String(next, StandardCharsets.ISO_8859_1));
+        disconnectWhileExecuted(ReplicaFault.FLOOD, "/o/stream", "g7");
+        assertEquals(0, cluster.executions("g6next"));
     }
 
     @Test
-    void whatAClientLeftIsNeverSent() throws IOException {
-        all(StandInReplica.Mode.NOT_RUN);
-        try (var s = TestHttpClient.open(t.front(0))) {
-            s.getOutputStream().write(TestHttpClient.request("/safe/x", "w1", "", "p"));
-            while (sends("w1").isEmpty()) {
+    void aRequestWhoseClientDisconnectedIsNeverSentAgain() throws IOException {
+        cluster.faultOfAll(ReplicaFault.NOT_EXECUTED);
+        try (var socket = TestHttpClient.open(cluster.front(0))) {
+            socket.getOutputStream().write(TestHttpClient.request("/safe/x", "w1", "", "p"));
+            while (received("w1").isEmpty()) {
                 Thread.onSpinWait();
             }
         }
-        t.askUntil(t.edge(0), "counters", "in-hand 0 ");
-        var before = sends("w1").size();
-        all(StandInReplica.Mode.WELL);
-        for (var i = 0; i < 20; i++) {
-            assertEquals(200, t.request(0, "/safe/x", "w2" + i, "", "").status);
+        cluster.askUntil(cluster.edge(0), "counters", "in-hand 0 ");
+        var before = received("w1").size();
+        cluster.faultOfAll(ReplicaFault.NONE);
+        for (var i = 0; i < MORE_REQUESTS; i++) {
+            assertEquals(200, cluster.request(0, "/safe/x", "w2" + i).status());
         }
-        assertEquals(before, sends("w1").size());
-        assertEquals(0, ran("w1"));
+        assertEquals(before, received("w1").size());
+        assertEquals(0, cluster.executions("w1"));
     }
 
-    // ---- time
+    // ---- deadlines
 
     @Test
-    void theTimeLeftIsCountedDownOnEverySend() throws IOException {
-        a.mode = StandInReplica.Mode.RESET;
-        b.mode = StandInReplica.Mode.RESET;
-        var body = "x".repeat(2000);
-        try (var s = TestHttpClient.open(t.front(0))) {
-            var all = TestHttpClient.request("/safe/x", "b1", "", body);
-            var began = System.nanoTime();
-            s.getOutputStream().write(all, 0, all.length - 1000);
-            while (System.nanoTime() - began < HALF_SECOND_NS) {
-                t.ask(t.edge(0), "counters");
+    void theTimeRemainingIsCountedDownOnEveryAttempt() throws IOException {
+        faultOfPlain(ReplicaFault.RESET);
+        try (var socket = TestHttpClient.open(cluster.front(0))) {
+            var bytes = TestHttpClient.request("/safe/x", "b1", "", "x".repeat(SLOW_BODY_BYTES));
+            var beganNs = System.nanoTime();
+            socket.getOutputStream().write(bytes, 0, bytes.length - LAST_BYTES);
+            while (System.nanoTime() - beganNs < HALF_SECOND_NS) {
+                cluster.ask(cluster.edge(0), "counters");
             }
-            var passedMs = (System.nanoTime() - began) / 1_000_000 - 100;
-            s.getOutputStream().write(all, all.length - 1000, 1000);
-            TestHttpClient.read(new BufferedInputStream(s.getInputStream()));
-            assertTrue(sends("b1").size() >= 2, "it was sent again");
-            for (var f : sends("b1")) {
-                var left = Long.parseLong(f.get("X-Time-Remaining"));
-                var endsMs =
-                        (Long.parseLong(f.get(StandInReplica.ARRIVED)) - began) / 1_000_000 + left;
+            var passedMs = (System.nanoTime() - beganNs) / NS_PER_MS - TOLERANCE_MS;
+            socket.getOutputStream().write(bytes, bytes.length - LAST_BYTES, LAST_BYTES);
+            TestHttpClient.read(new BufferedInputStream(socket.getInputStream()));
+            assertTrue(received("b1").size() >= 2, "it was sent again");
+            for (var request : received("b1")) {
+                var leftMs = Long.parseLong(request.field("X-Time-Remaining"));
+                var endsMs = (request.arrivedNs() - beganNs) / NS_PER_MS + leftMs;
                 assertTrue(
-                        left <= 8000 - passedMs + 1, left + " ms left after " + passedMs + " ms");
+                        leftMs <= CLIENT_TIMEOUT_MS - passedMs + 1,
+                        leftMs + " ms left after " + passedMs + " ms");
                 assertTrue(
-                        endsMs <= 8000 + 100, "it ends " + endsMs + " ms after the client began");
+                        endsMs <= CLIENT_TIMEOUT_MS + TOLERANCE_MS,
+                        "it ends " + endsMs + " ms after the client began");
             }
         }
     }
 
     @Test
-    void theTimeOfTheRouteCapsTheTimeLeft() {
-        assertEquals(200, t.request(0, "/quick/x", "b2", "", "").status);
-        assertTrue(Long.parseLong(sends("b2").get(0).get("X-Time-Remaining")) <= TIMEOUT_MS);
+    void theTimeoutOfTheRouteCapsTheTimeRemaining() {
+        assertEquals(200, cluster.request(0, "/quick/x", "b2").status());
+        var leftMs = Long.parseLong(received("b2").get(0).field("X-Time-Remaining"));
+        assertTrue(leftMs <= TIMEOUT_MS);
     }
 
-    private static TestHttpClient.Reply timesOut(
-            StandInReplica.Mode mode, String path, String attempt) {
-        all(mode);
-        var began = System.nanoTime();
-        var r = t.request(0, path, attempt, path.contains("stream") ? MODEL : "", "");
-        var took = System.nanoTime() - began;
+    private static HttpReply replyAtTimeout(ReplicaFault fault, String path, String attempt) {
+        cluster.faultOfAll(fault);
+        var beganNs = System.nanoTime();
+        var reply = cluster.request(0, path, attempt, promptFor(path), "");
+        var tookNs = System.nanoTime() - beganNs;
         assertTrue(
-                took < TIMEOUT_MS * 1_000_000L + HALF_SECOND_NS,
-                mode + " " + path + " took " + took / 1_000_000 + " ms");
-        return r;
+                tookNs < TIMEOUT_NS + HALF_SECOND_NS,
+                fault + " " + path + " took " + tookNs / NS_PER_MS + " ms");
+        return reply;
     }
 
     @Test
-    void atTheTimeoutThereIsAFinalAnswer() {
-        assertEquals(504, timesOut(StandInReplica.Mode.SILENT, "/quick/x", "t1").status);
-        assertEquals(504, timesOut(StandInReplica.Mode.SILENT, "/quickonce/x", "t2").status);
-        assertEquals(504, timesOut(StandInReplica.Mode.SILENT, "/qs/stream", "t3").status);
-        assertEquals(503, timesOut(StandInReplica.Mode.NOT_RUN, "/quickonce/x", "t4").status);
-        var cut = timesOut(StandInReplica.Mode.STALL, "/qs/stream", "t5");
-        assertEquals(200, cut.status);
-        assertFalse(cut.whole);
-        for (var id : List.of("t1", "t2", "t3", "t5")) {
-            first("left " + id);
+    void atTheTimeoutThereIsAFinalResponse() {
+        assertEquals(504, replyAtTimeout(ReplicaFault.SILENT, "/quick/x", "t1").status());
+        assertEquals(504, replyAtTimeout(ReplicaFault.SILENT, "/quickonce/x", "t2").status());
+        assertEquals(504, replyAtTimeout(ReplicaFault.SILENT, "/qs/stream", "t3").status());
+        assertEquals(503, replyAtTimeout(ReplicaFault.NOT_EXECUTED, "/quickonce/x", "t4").status());
+        var cut = replyAtTimeout(ReplicaFault.STALL, "/qs/stream", "t5");
+        assertEquals(200, cut.status());
+        assertFalse(cut.complete());
+        for (var attempt : List.of("t1", "t2", "t3", "t5")) {
+            awaitFirst(replica -> replica.left(attempt));
         }
     }
 
     @Test
     void aStreamToAClientThatDoesNotReadEndsAtTheTimeoutToo() throws IOException {
-        all(StandInReplica.Mode.FLOOD);
-        try (var s = TestHttpClient.open(t.front(0))) {
-            var began = System.nanoTime();
-            s.getOutputStream().write(TestHttpClient.request("/qs/stream", "t6", MODEL, ""));
-            assertTrue(first("left t6") - began < TIMEOUT_MS * 1_000_000L + HALF_SECOND_NS);
-            while (t.ask(t.edge(0), "counters").contains("connections 1 ")) {
+        cluster.faultOfAll(ReplicaFault.FLOOD);
+        try (var socket = TestHttpClient.open(cluster.front(0))) {
+            var beganNs = System.nanoTime();
+            socket.getOutputStream().write(TestHttpClient.request("/qs/stream", "t6", PROMPT, ""));
+            assertTrue(
+                    awaitFirst(replica -> replica.left("t6")) - beganNs
+                            < TIMEOUT_NS + HALF_SECOND_NS);
+            while (cluster.ask(cluster.edge(0), "counters").contains("connections 1 ")) {
                 assertTrue(
-                        System.nanoTime() - began < TIMEOUT_MS * 1_000_000L + HALF_SECOND_NS * 2,
+                        System.nanoTime() - beganNs < TIMEOUT_NS + HALF_SECOND_NS * 2,
                         "the client's connection is still open");
             }
-            assertFalse(TestHttpClient.read(new BufferedInputStream(s.getInputStream())).whole);
+            var in = new BufferedInputStream(socket.getInputStream());
+            assertFalse(TestHttpClient.read(in).complete());
         } catch (SocketException e) {
             assertTrue(
                     e.getMessage().contains("reset"),
@@ -252,94 +254,98 @@
         }
     }
 
-    // ---- answers of odd shapes
+    // ---- responses of unusual framing
 
     @Test
-    void anAnswerWithoutALengthIsWholeWhenItsConnectionEndsInOrder() {
-        all(StandInReplica.Mode.UNFRAMED);
+    void aResponseWithoutALengthIsCompleteWhenItsConnectionEndsInOrder() {
+        cluster.faultOfAll(ReplicaFault.UNFRAMED);
         for (var path : List.of("/safe/x", "/once/x")) {
-            var r = t.request(0, path, "u1" + path.length(), "", "");
-            assertEquals(200, r.status);
-            assertEquals("done by plain for u1" + path.length(), r.body);
+            var reply = cluster.request(0, path, "u1" + path.length());
+            assertEquals(200, reply.status());
+            assertEquals("done by plain for u1" + path.length(), reply.body());
         }
-        var s = t.request(0, "/o/stream", "u2", MODEL, "");
-        assertTrue(s.whole);
-        assertTrue(s.body.endsWith("data: piece 8\n\n"));
+        var stream = cluster.request(0, "/o/stream", "u2", PROMPT, "");
+        assertTrue(stream.complete());
+        assertTrue(stream.body().endsWith(EventStream.LAST_EVENT));
     }
 
     @Test
-    void anAnswerWithoutALengthIsBrokenWhenItsConnectionIsReset() {
-        t.replicas.forEach(r -> r.resume = new CountDownLatch(0));
-        all(StandInReplica.Mode.UNFRAMED_RESET);
-        assertEquals(502, t.request(0, "/once/x", "u3", "", "").status);
-        assertEquals(1, ran("u3"));
-        var s = t.request(0, "/o/stream", "u4", MODEL, "");
-        assertFalse(s.status == 200 && s.whole);
+    void aResponseWithoutALengthIsBrokenWhenItsConnectionIsReset() {
+        cluster.replicas().forEach(StandInReplica::resume);
+        cluster.faultOfAll(ReplicaFault.UNFRAMED_RESET);
+        assertEquals(502, cluster.request(0, "/once/x", "u3").status());
+        assertEquals(1, cluster.executions("u3"));
+        var stream = cluster.request(0, "/o/stream", "u4", PROMPT, "");
+        assertFalse(stream.status() == 200 && stream.complete());
     }
 
     @Test
     void theRestOfABodyThatWasAnsweredEarlyComesBeforeTheNextRequest() {
-        a.mode = StandInReplica.Mode.EARLY;
-        b.mode = StandInReplica.Mode.EARLY;
-        var body = "y".repeat(99_000);
-        assertEquals("early", t.request(0, "/once/x", "e1", "", body).body);
-        var r = a.sends.containsKey("e1") ? a : b;
-        r.mode = StandInReplica.Mode.WELL;
-        var next = CompletableFuture.supplyAsync(() -> t.request(0, "/safe/x", "e2", "", body));
-        r.resume.countDown();
-        r.signal("read e1").orTimeout(15, TimeUnit.SECONDS).join();
-        assertTrue(r.heads.get("e1").endsWith(" " + body));
-        assertEquals(200, next.join().status);
+        faultOfPlain(ReplicaFault.EARLY_RESPONSE);
+        var body = "y".repeat(LARGE_BODY_BYTES);
+        assertEquals("early", cluster.request(0, "/once/x", "e1", "", body).body());
+        var early =
+                cluster.replicas().stream()
+                        .filter(replica -> !replica.received("e1").isEmpty())
+                        .findFirst()
+                        .orElseThrow();
+        early.fault(ReplicaFault.NONE);
+        var next =
+                CompletableFuture.supplyAsync(() -> cluster.request(0, "/safe/x", "e2", "", body));
+        early.resume();
+        early.bodyRead("e1").orTimeout(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS).join();
+        assertTrue(early.requestText("e1").endsWith(" " + body));
+        assertEquals(200, next.join().status());
     }
 
     @Test
-    void anAnswerWithoutAnIdOnAUsedConnectionIsNobodys() {
-        for (var i = 0; i < 6; i++) {
-            assertEquals(200, t.request(0, "/safe/x", "n0" + i, "", "").status);
+    void aResponseWithoutAnIdOnAUsedConnectionIsDropped() {
+        for (var i = 0; i < REQUESTS; i++) {
+            assertEquals(200, cluster.request(0, "/safe/x", "n0" + i).status());
         }
-        a.mode = StandInReplica.Mode.STRAY;
-        b.mode = StandInReplica.Mode.STRAY;
-        for (var i = 0; i < 6; i++) {
-            var x = t.request(0, "/safe/x", "n1" + i, "", "");
-            assertNotEquals("stale", x.body);
-            var y = t.request(0, "/once/x", "n2" + i, "", "");
-            assertNotEquals("stale", y.body);
-            assertTrue(ran("n2" + i) <= 1);
+        faultOfPlain(ReplicaFault.STRAY_RESPONSE);
+        for (var i = 0; i < REQUESTS; i++) {
+            assertNotEquals("stale", cluster.request(0, "/safe/x", "n1" + i).body());
+            assertNotEquals("stale", cluster.request(0, "/once/x", "n2" + i).body());
+            assertTrue(cluster.executions("n2" + i) <= 1);
         }
     }
 
     @Test
-    void aReplicasOwn503IsNoPromiseForWhatItMayHaveRun() {
-        all(StandInReplica.Mode.BUSY_AFTER_RUN);
-        assertEquals(502, t.request(0, "/once/x", "p1", "", "").status);
-        assertEquals(1, ran("p1"));
+    void aReplicasOwn503IsNoPromiseThatARequestWasNotExecuted() {
+        cluster.faultOfAll(ReplicaFault.BUSY_AFTER_EXECUTION);
+        assertEquals(502, cluster.request(0, "/once/x", "p1").status());
+        assertEquals(1, cluster.executions("p1"));
     }
 
-    // ---- what a replica is handed
+    // ---- what a replica is sent
 
-    @Test
-    void everySendIsWhatTheClientSent() {
-        var id = "";
-        for (var i = 0; i < 20 && id.isEmpty(); i++) {
-            m1.mode = i % 2 == 0 ? StandInReplica.Mode.CUT_STREAM : StandInReplica.Mode.WELL;
-            m2.mode = i % 2 == 1 ? StandInReplica.Mode.CUT_STREAM : StandInReplica.Mode.WELL;
-            t.request(
-                    0,
-                    "/r/stream?q=1&r=%20",
-                    "q" + i,
-                    MODEL + "X-Other: kept as it is\r\n",
-                    "the body");
-            id = sends("q" + i).size() == 2 ? "q" + i : "";
+    /** Sends resumable streams until the attempt of one was sent twice; gives its id. */
+    private static String resumedAttempt() {
+        for (var i = 0; i < MORE_REQUESTS; i++) {
+            cluster.replica("i-m1").fault(i % 2 == 0 ? ReplicaFault.CUT_STREAM : ReplicaFault.NONE);
+            cluster.replica("i-m2").fault(i % 2 == 1 ? ReplicaFault.CUT_STREAM : ReplicaFault.NONE);
+            var fields = PROMPT + "X-Other: kept as it is\r\n";
+            cluster.request(0, "/r/stream?q=1&r=%20", "q" + i, fields, "the body");
+            if (received("q" + i).size() == 2) {
+                return "q" + i;
+            }
         }
-        assertFalse(id.isEmpty(), "one was sent again");
-        for (var f : sends(id)) {
-            assertEquals("m", f.get("X-Model"));
-            assertEquals("10,40", f.get("X-Token-Usage"));
-            assertEquals("5c1e07a2:4,91bd3f06:6", f.get("X-Prompt-Prefix"));
-            assertEquals("kept as it is", f.get("X-Other"));
+        return "";
+    }
+
+    @Test
+    void everyAttemptIsWhatTheClientSent() {
+        var attempt = resumedAttempt();
+        assertFalse(attempt.isEmpty(), "one was sent again");
+        for (var request : received(attempt)) {
+            assertEquals("m", request.field("X-Model"));
+            assertEquals("10,40", request.field("X-Token-Usage"));
+            assertEquals("5c1e07a2:4,91bd3f06:6", request.field("X-Prompt-Prefix"));
+            assertEquals("kept as it is", request.field("X-Other"));
         }
-        for (var r : List.of(m1, m2)) {
-            var seen = r.heads.get(id);
+        for (var id : List.of("i-m1", "i-m2")) {
+            var seen = cluster.replica(id).requestText(attempt);
             assertTrue(
                     seen.startsWith("POST /r/stream?q=1&r=%20 HTTP/1.1 ")
                             && seen.endsWith(" the body"),
@@ -347,9 +353,9 @@
         }
         assertEquals(
                 "3",
-                sends(id).stream()
-                        .map(f -> f.getOrDefault("Last-Event-Id", ""))
+                received(attempt).stream()
+                        .map(request -> request.field("Last-Event-Id"))
                         .max(Comparator.naturalOrder())
-                        .get());
+                        .orElseThrow());
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/PrefixOwnerTest.java
+++ b/launcher/src/test/java/martenloom/launcher/PrefixOwnerTest.java
@@ -5,155 +5,141 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
+import java.util.function.Predicate;
+import martenloom.launcher.harness.HttpReply;
+import martenloom.launcher.harness.Prompts;
+import martenloom.launcher.harness.ReplicaFault;
 import martenloom.launcher.harness.StandInReplica;
 import martenloom.launcher.harness.TestCluster;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Large shared parts stay where they were read, however many edges ask for them: an edge that never
- * sent the part there counts only what the replica must still read, and a stream that pauses while
- * much is read is not taken for lost.
+ * Large shared prefixes stay where they were prefilled, however many edges ask for them: an edge
+ * that never sent the prefix there counts only what the replica must still prefill, and a stream
+ * that pauses while much is prefilled is not taken for lost.
  */
 final class PrefixOwnerTest {
-    @TempDir Path dir;
+    private static final int SHARED_TOKENS = 12_000;
+    private static final int OWN_TOKENS = 300;
+    private static final int LARGE_TOKENS = 16_000;
+    private static final int REQUESTS = 6;
+    private static final int ATTEMPTS = 5;
+    private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
+    private static final long LEAST_PAUSE_MS = 1_000;
+    private static final long NS_PER_MS = 1_000_000;
 
-    private static String large(String own, int tokens) {
-        return "X-Model: m\r\nX-Token-Usage: "
-                + (12_000 + tokens)
-                + ",40\r\nX-Prompt-Prefix: aa:12000,"
-                + own
-                + ":"
-                + tokens
-                + "\r\n";
+    @TempDir private Path dir;
+
+    /** A prompt of the shared prefix and a block of its own. */
+    private static HttpReply request(
+            TestCluster cluster, int edge, String path, String attempt, String ownBlock) {
+        var prefix = "aa:" + SHARED_TOKENS + "," + ownBlock + ":" + OWN_TOKENS;
+        var prompt = Prompts.ofTokens(SHARED_TOKENS + OWN_TOKENS, prefix);
+        return cluster.request(edge, path, attempt, prompt, "p");
+    }
+
+    private static StandInReplica modelReplica(
+            TestCluster cluster, Predicate<StandInReplica> sought) {
+        return cluster.replicas().stream()
+                .filter(replica -> replica.service().equals("model"))
+                .filter(sought)
+                .findFirst()
+                .orElseThrow();
     }
 
     @Test
-    void anEdgeThatNeverSentThePartCountsOnlyTheOwnPartAtItsPrefixOwner() {
-        try (var t = new TestCluster(dir, 84, 3)) {
-            t.replica("i-a", "plain", 0);
-            var all =
-                    java.util.List.of(
-                            t.replica("i-m0", "model", 0),
-                            t.replica("i-m1", "model", 1),
-                            t.replica("i-m2", "model", 2));
-            t.startEdge(0);
-            t.startEdge(1);
-            assertEquals(
-                    200,
-                    t.order("POST /configuration/replace", "0", TestCluster.configuration(3, "")));
-            t.awaitReady(0, 1);
-            all.forEach(
-                    r -> {
-                        t.askUntil(t.edge(0), "replicas", r.id);
-                        t.askUntil(t.edge(1), "replicas", r.id);
-                    });
-            assertEquals(200, t.request(0, "/r/stream", "first", large("b0", 300), "p").status);
-            var prefixOwner =
-                    all.stream().filter(r -> r.ran("first") == 1).findFirst().orElseThrow();
+    void anEdgeThatNeverSentThePrefixCountsOnlyTheOwnBlockAtItsOwner() {
+        try (var cluster =
+                TestCluster.in(dir)
+                        .replica("i-a", "plain", 0)
+                        .replica("i-m0", "model", 0)
+                        .replica("i-m1", "model", 1)
+                        .replica("i-m2", "model", 2)
+                        .edges(0, 1)
+                        .start()) {
+            for (var id : new String[] {"i-m0", "i-m1", "i-m2"}) {
+                cluster.askUntil(cluster.edge(0), "replicas", id);
+                cluster.askUntil(cluster.edge(1), "replicas", id);
+            }
+            assertEquals(200, request(cluster, 0, "/r/stream", "first", "b0").status());
+            var owner = modelReplica(cluster, replica -> replica.executions("first") == 1);
             assertTrue(
-                    t.askUntil(t.edge(1), "places", "aa at").contains("aa at " + prefixOwner.id),
+                    cluster.askUntil(cluster.edge(1), "places", "aa at")
+                            .contains("aa at " + owner.id()),
                     "the other edge is told");
-            for (var i = 0; i < 6; i++) {
+            for (var i = 0; i < REQUESTS; i++) {
+                assertEquals(200, request(cluster, 1, "/r/stream", "again" + i, "c" + i).status());
                 assertEquals(
-                        200,
-                        t.request(1, "/r/stream", "again" + i, large("c" + i, 300), "p").status);
-                assertEquals(1, prefixOwner.ran("again" + i), "it is not read anew elsewhere");
+                        1, owner.executions("again" + i), "it is not prefilled anew elsewhere");
             }
             var seen = false;
-            for (var i = 0; i < 5 && !seen; i++) {
-                seen = seenAtPrefixOwner(t, all, "halts" + i);
+            for (var i = 0; i < ATTEMPTS && !seen; i++) {
+                seen = isOwnBlockCountedAtOwner(cluster, i);
             }
             assertTrue(
                     seen,
-                    "the attempt in hand counts the own part, 300 tokens, and not the 12000 that"
-                            + " are kept there");
+                    "the attempt in flight counts the own block, 300 tokens, and not the 12000"
+                            + " that are cached there");
         }
     }
 
     /**
-     * Halts an request at the prefix owner and looks at it from the edge for as long as it is
-     * there.
+     * Halts a request at the prefix owner and asks the edge about it for as long as it is there.
      */
-    private static boolean seenAtPrefixOwner(
-            TestCluster t, java.util.List<StandInReplica> all, String id) {
-        var places = t.ask(t.edge(1), "places");
-        var prefixOwner =
-                all.stream()
-                        .filter(r -> places.contains("aa at " + r.id))
-                        .findFirst()
-                        .orElseThrow();
-        prefixOwner.mode = StandInReplica.Mode.STALL;
-        var late =
+    private static boolean isOwnBlockCountedAtOwner(TestCluster cluster, int number) {
+        var places = cluster.ask(cluster.edge(1), "places");
+        var owner = modelReplica(cluster, replica -> places.contains("aa at " + replica.id()));
+        owner.fault(ReplicaFault.STALL);
+        var halted =
                 CompletableFuture.supplyAsync(
-                        () ->
-                                t.request(
-                                        1,
-                                        "/r/halts",
-                                        id,
-                                        large("d" + id.charAt(id.length() - 1), 300),
-                                        "p"));
+                        () -> request(cluster, 1, "/r/halts", "halts" + number, "d" + number));
+        var counted = owner.id() + " model " + owner.zone() + " in-hand 1 others 0 unread 300 ";
         var seen = false;
-        while (!late.isDone() && !seen) {
-            seen =
-                    t.ask(t.edge(1), "replicas")
-                            .contains(
-                                    prefixOwner.id
-                                            + " model "
-                                            + prefixOwner.zone
-                                            + " in-hand 1 others 0 unread 300 ");
+        while (!halted.isDone() && !seen) {
+            seen = cluster.ask(cluster.edge(1), "replicas").contains(counted);
         }
-        assertEquals(200, late.join().status, "it goes on at another replica");
-        prefixOwner.mode = StandInReplica.Mode.WELL;
+        assertEquals(200, halted.join().status(), "it goes on at another replica");
+        owner.fault(ReplicaFault.NONE);
         return seen;
     }
 
     @Test
-    void aStreamMayPauseForAsLongAsOthersAreRead() throws Exception {
-        try (var t = new TestCluster(dir, 85, 3)) {
-            t.replica("i-a", "plain", 0);
-            var m = t.replica("i-m", "model", 0);
-            var n = t.replica("i-n", "model", 0);
-            t.mute(n);
-            t.startEdge(0);
-            assertEquals(
-                    200,
-                    t.order("POST /configuration/replace", "0", TestCluster.configuration(3, "")));
-            t.awaitReady(0);
-            t.askUntil(t.edge(0), "replicas", "i-m");
-            m.mode = StandInReplica.Mode.STALL;
-            var big =
+    void aStreamMayPauseForAsLongAsOtherPromptsArePrefilled() {
+        try (var cluster =
+                TestCluster.in(dir)
+                        .replica("i-a", "plain", 0)
+                        .replica("i-m", "model", 0)
+                        .silentReplica("i-n", "model", 0)
+                        .edges(0)
+                        .start()) {
+            var stalling = cluster.replica("i-m");
+            var other = cluster.replica("i-n");
+            cluster.askUntil(cluster.edge(0), "replicas", "i-m");
+            stalling.fault(ReplicaFault.STALL);
+            var prompt = Prompts.ofTokens(LARGE_TOKENS);
+            var large =
                     CompletableFuture.supplyAsync(
-                            () ->
-                                    t.request(
-                                            0,
-                                            "/r/halts",
-                                            "big",
-                                            "X-Model: m\r\nX-Token-Usage: 16000,40\r\n",
-                                            "p"));
-            t.askUntil(t.edge(0), "replicas", "unread 16000");
-            var t0 = System.nanoTime();
+                            () -> cluster.request(0, "/r/halts", "big", prompt, "p"));
+            cluster.askUntil(cluster.edge(0), "replicas", "unread 16000");
+            var beganNs = System.nanoTime();
             var stream =
-                    CompletableFuture.supplyAsync(
-                            () ->
-                                    t.request(
-                                            0,
-                                            "/r/stream",
-                                            "pauses",
-                                            "X-Model: m\r\nX-Token-Usage: 10,40\r\n",
-                                            "p"));
-            while (!m.stalled.contains("pauses") && System.nanoTime() - t0 < 10_000_000_000L) {
+                    CompletableFuture.supplyAsync(() -> cluster.prompt(0, "/r/stream", "pauses"));
+            while (!stalling.stalled().contains("pauses")
+                    && System.nanoTime() - beganNs < STALL_TIMEOUT_NS) {
                 Thread.onSpinWait();
             }
-            var at = System.nanoTime();
-            t.unmute(n);
-            assertEquals(200, stream.join().status);
-            var ms = (System.nanoTime() - at) / 1_000_000;
-            assertEquals(1, n.ran("pauses"), "in the end it is");
+            var pausedNs = System.nanoTime();
+            cluster.resumeHeartbeats(other);
+            assertEquals(200, stream.join().status());
+            var tookMs = (System.nanoTime() - pausedNs) / NS_PER_MS;
+            assertEquals(1, other.executions("pauses"), "in the end it moves");
             assertTrue(
-                    ms >= 1000,
-                    "moved after " + ms + " ms, though 16000 tokens were to be read first");
-            assertEquals(200, big.join().status);
+                    tookMs >= LEAST_PAUSE_MS,
+                    "moved after "
+                            + tookMs
+                            + " ms, though 16000 tokens were to be prefilled first");
+            assertEquals(200, large.join().status());
         }
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/RegionLossTest.java
+++ b/launcher/src/test/java/martenloom/launcher/RegionLossTest.java
@@ -14,9 +14,14 @@
 import java.util.concurrent.Executors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import martenloom.launcher.harness.EventStream;
+import martenloom.launcher.harness.HttpReply;
+import martenloom.launcher.harness.Prompts;
+import martenloom.launcher.harness.ReplicaFault;
+import martenloom.launcher.harness.ShellAnswers;
 import martenloom.launcher.harness.StandInReplica;
 import martenloom.launcher.harness.TestCluster;
-import martenloom.launcher.harness.TestHttpClient;
+import martenloom.launcher.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,256 +29,292 @@
 
 /**
  * The check of placements before they go live, and what it is for: a region goes dark - it says
- * nothing, its daemons and replicas with it - and every request in flight lands once on the
- * survivors, or, where it may not run again, ends visibly after one run. Counted by id at the
- * stand-ins and at the clients.
+ * nothing, its daemons and replicas with it - and every request in flight is completed once on the
+ * survivors, or, where it may not be executed again, ends visibly after one execution. Counted by
+ * attempt id at the stand-in replicas and at the clients.
  */
 final class RegionLossTest {
-    private static final String ENGINE = "X-Model: m\r\nX-Token-Usage: 10,40\r\n";
-    @TempDir Path dir;
+    private static final String RESUMABLE_STREAM = "/r/stream";
+    private static final String STREAM_ONCE = "/o/stream";
+    private static final String IDEMPOTENT = "/safe/x";
+    private static final String NON_IDEMPOTENT = "/once/x";
+    private static final List<String> PATHS =
+            List.of(RESUMABLE_STREAM, STREAM_ONCE, IDEMPOTENT, NON_IDEMPOTENT);
 
-    private static String ids(String body) {
-        return body.replaceAll("(?s)id: (\\d+)\ndata: piece \\d+\n\n", "$1,");
+    private static final int REGIONS = 3;
+    private static final int PROMPTS = 6;
+    private static final int ROUNDS = 24;
+    private static final int DOOMED_ROUNDS = 4;
+    private static final int LAST_ROUNDS = 6;
+    private static final int LEAST_STALLED = 6;
+    private static final int DOOMED_FROM = 100;
+    private static final int AFTER_LOSS_FROM = 200;
+    private static final int LAST_FROM = 300;
+    private static final int RETURN_ATTEMPTS = 400;
+    private static final int ORDER_ATTEMPTS = 60;
+
+    @TempDir private Path dir;
+
+    // ---- placements
+
+    private static void assertWouldRunNowhere(String answer) {
+        assertTrue(answer.contains("model 'm' would run nowhere"), answer);
+    }
+
+    /** Unloads the model in two regions at once, of which one must win; gives that region. */
+    private static String raceOfTwoUnloads(TestCluster cluster) {
+        var north =
+                CompletableFuture.supplyAsync(
+                        () -> cluster.control().post(0, "/placements/north/m/unload"));
+        var west =
+                CompletableFuture.supplyAsync(
+                        () -> cluster.control().post(1, "/placements/west/m/unload"));
+        var both =
+                Stream.of(north.join(), west.join())
+                        .sorted(Comparator.comparingInt(HttpReply::status))
+                        .toList();
+        assertEquals(200, both.get(0).status());
+        assertEquals(409, both.get(1).status());
+        assertTrue(
+                both.get(1)
+                        .body()
+                        .contains("model 'm' would run nowhere if region 'south' were lost"),
+                both.get(1).body());
+        return north.join().status() == 200 ? "north" : "west";
     }
 
     @Test
-    void aPlacementThatStrandsAModelIsRefusedWithBothNamesAlsoWhenTwoHalvesRace() {
-        try (var t = new TestCluster(dir, 84, 3)) {
-            t.replica("i-n", "model", 0);
-            t.replica("i-s", "model", 1);
-            t.replica("i-w", "model", 2);
-            t.replica("i-p", "plain", 0);
-            t.startEdge(0);
-            assertEquals(
-                    200,
-                    t.order("POST /configuration/replace", "0", TestCluster.configuration(3, "")));
-            t.awaitReady(0);
-            t.askUntil(t.core(0), "replicas", "i-w");
-            t.askUntil(t.core(1), "replicas", "i-w");
-            t.askUntil(t.core(2), "replicas", "i-w");
-            assertEquals(404, t.order("POST /placements/east/m/unload", "", ""));
-            assertEquals(404, t.order("POST /placements/north/none/unload", "", ""));
-            assertTrue(t.ask(t.core(0), "would north/m unload").startsWith("ok"));
-            var x =
-                    CompletableFuture.supplyAsync(
-                            () -> t.operator(0, "POST /placements/north/m/unload", "", ""));
-            var y =
-                    CompletableFuture.supplyAsync(
-                            () -> t.operator(1, "POST /placements/west/m/unload", "", ""));
-            var both =
-                    Stream.of(x.join(), y.join())
-                            .sorted(Comparator.comparingInt(r -> r.status))
-                            .toList();
-            assertEquals(200, both.get(0).status);
-            assertEquals(409, both.get(1).status);
-            assertTrue(
-                    both.get(1)
-                            .body
-                            .contains("model 'm' would run nowhere if region 'south' were lost"),
-                    both.get(1).body);
-            var won = x.join().status == 200 ? "north" : "west";
-            assertTrue(
-                    t.ask(t.core(0), "would south/m unload")
-                            .contains("model 'm' would run nowhere"));
-            assertEquals(409, t.order("POST /placements/south/m/unload", "", ""));
-            assertFalse(t.ask(t.core(0), "scaling").contains("south/m"), "nothing is kept of it");
-            assertTrue(
-                    t.askUntil(t.edge(0), "scaling", won + "/m desired 0 unloaded")
-                            .contains("unloaded"));
-            for (var i = 0; i < 6; i++) {
-                var r = t.request(0, "/r/stream", "p" + i, ENGINE, "p");
-                assertEquals(200, r.status);
-                assertNotEquals(
-                        won.equals("north") ? "seal-i-n" : "seal-i-w",
-                        r.fields.get("X-Server-Seal"),
-                        "what is unloaded gets no new prompts");
+    void aPlacementThatStrandsAModelIsRejectedWithBothNamesAlsoWhenTwoHalvesRace() {
+        try (var cluster =
+                TestCluster.in(dir)
+                        .replica("i-n", "model", 0)
+                        .replica("i-s", "model", 1)
+                        .replica("i-w", "model", 2)
+                        .replica("i-p", "plain", 0)
+                        .edges(0)
+                        .start()) {
+            var control = cluster.control();
+            for (var core = 0; core < REGIONS; core++) {
+                cluster.askUntil(cluster.core(core), "replicas", "i-w");
             }
-            t.mute(t.replicas.get(1));
+            assertEquals(404, control.postUntilSettled("/placements/east/m/unload"));
+            assertEquals(404, control.postUntilSettled("/placements/north/none/unload"));
+            assertTrue(cluster.ask(cluster.core(0), "would north/m unload").startsWith("ok"));
+            var unloaded = raceOfTwoUnloads(cluster);
+            assertWouldRunNowhere(cluster.ask(cluster.core(0), "would south/m unload"));
+            assertEquals(409, control.postUntilSettled("/placements/south/m/unload"));
+            assertFalse(
+                    cluster.ask(cluster.core(0), "scaling").contains("south/m"),
+                    "nothing is kept of it");
+            cluster.assertShown(cluster.edge(0), "scaling", unloaded + "/m desired 0 unloaded");
+            assertNoNewPrompts(cluster, unloaded.equals("north") ? "seal-i-n" : "seal-i-w");
+            cluster.stopHeartbeats(cluster.replica("i-s"));
             assertTrue(
-                    t.askUntil(t.core(0), "exposure", "model 'm' would run nowhere")
+                    cluster.askUntil(cluster.core(0), "exposure", "model 'm' would run nowhere")
                             .contains("were lost"),
-                    "a crash is shown, not refused");
+                    "a crash is shown, not rejected");
             assertEquals(
                     200,
-                    t.order("POST /placements/" + won + "/m/load", "", ""),
-                    "what mends is never refused");
-            assertTrue(t.askUntil(t.edge(0), "replicas", "i-n").contains("i-n"));
+                    control.postUntilSettled("/placements/" + unloaded + "/m/load"),
+                    "what mends is never rejected");
+            cluster.assertShown(cluster.edge(0), "replicas", "i-n");
+        }
+    }
+
+    private static void assertNoNewPrompts(TestCluster cluster, String seal) {
+        for (var i = 0; i < PROMPTS; i++) {
+            var reply = cluster.prompt(0, RESUMABLE_STREAM, "p" + i);
+            assertEquals(200, reply.status());
+            assertNotEquals(seal, reply.seal(), "what is unloaded gets no new prompts");
         }
     }
 
-    private record Sent(String id, String kind, TestHttpClient.Reply reply) {}
+    // ---- a region goes dark
+
+    private record Exchange(String attempt, String path, HttpReply reply) {
+        boolean mayBeRepeated() {
+            return path.equals(RESUMABLE_STREAM) || path.equals(IDEMPOTENT);
+        }
+    }
 
-    /** Requests of every kind at the surviving edges and at the one that is lost. */
-    private static List<CompletableFuture<Sent>> load(
-            TestCluster t, ExecutorService pool, int from, int n, int... edges) {
-        var kinds = List.of("/r/stream", "/o/stream", "/safe/x", "/once/x");
-        return IntStream.range(from, from + n)
-                .boxed()
-                .flatMap(
-                        i ->
-                                kinds.stream()
-                                        .map(
-                                                k ->
-                                                        CompletableFuture.supplyAsync(
-                                                                () -> {
-                                                                    var id =
-                                                                            "e"
-                                                                                    + i
-                                                                                    + k.charAt(1)
-                                                                                    + k.charAt(2);
-                                                                    return new Sent(
-                                                                            id,
-                                                                            k,
-                                                                            t.request(
-                                                                                    edges[
-                                                                                            i
-                                                                                                    % edges.length],
-                                                                                    k,
-                                                                                    id,
-                                                                                    k.endsWith(
-                                                                                                    "stream")
-                                                                                            ? ENGINE
-                                                                                            : "",
-                                                                                    "b"));
-                                                                },
-                                                                pool)))
-                .toList();
+    private static Exchange exchange(TestCluster cluster, int edge, int number, String path) {
+        var attempt = "e" + number + path.substring(1, 3);
+        var prompt = path.endsWith("stream") ? Prompts.SMALL : "";
+        return new Exchange(attempt, path, cluster.request(edge, path, attempt, prompt, "b"));
     }
 
-    private static void judge(TestCluster t, Sent s) {
-        var runs = t.replicas.stream().mapToInt(r -> r.ran(s.id)).sum();
-        var r = s.reply;
-        switch (s.kind) {
-            case "/r/stream" -> {
-                assertTrue(r.whole && r.status == 200, s.id + " " + r.status);
-                assertEquals("1,2,3,4,5,6,7,8,", ids(r.body), "once, whole and in order");
-                assertTrue(runs >= 1 && runs <= 2, s.id + " ran " + runs);
+    /** Requests of every kind in so many rounds, each round at the next of the edges. */
+    private static List<CompletableFuture<Exchange>> load(
+            TestCluster cluster, ExecutorService pool, int from, int rounds, int... edges) {
+        var exchanges = new ArrayList<CompletableFuture<Exchange>>();
+        for (var number : IntStream.range(from, from + rounds).toArray()) {
+            var edge = edges[number % edges.length];
+            for (var path : PATHS) {
+                exchanges.add(
+                        CompletableFuture.supplyAsync(
+                                () -> exchange(cluster, edge, number, path), pool));
             }
-            case "/safe/x" -> {
-                assertEquals(200, r.status, s.id);
-                assertEquals("done by plain for " + s.id, r.body);
+        }
+        return exchanges;
+    }
+
+    private static void judge(TestCluster cluster, Exchange exchange) {
+        var attempt = exchange.attempt;
+        var executions = cluster.executions(attempt);
+        var reply = exchange.reply;
+        switch (exchange.path) {
+            case RESUMABLE_STREAM -> {
+                assertTrue(
+                        reply.complete() && reply.status() == 200, attempt + " " + reply.status());
+                assertEquals(
+                        EventStream.ALL_IDS,
+                        EventStream.ids(reply.body()),
+                        "once, complete and in order");
+                assertTrue(
+                        executions >= 1 && executions <= 2,
+                        attempt + " was executed " + executions);
             }
-            default -> {
-                assertTrue(runs <= 1, s.id + " may run once and ran " + runs);
-                if (r.status == 200 && r.whole) {
-                    assertEquals(1, runs);
-                } else {
-                    assertTrue(
-                            r.status == 502
-                                    || r.status == 504
-                                    || r.status == 503
-                                    || r.status == 200 && !r.whole,
-                            s.id + " ends visibly: " + r.status);
-                    assertTrue(r.status != 503 || runs == 0, "a promise that it has not run");
-                }
+            case IDEMPOTENT -> {
+                assertEquals(200, reply.status(), attempt);
+                assertEquals("done by plain for " + attempt, reply.body());
             }
+            default -> judgeSingleExecution(attempt, executions, reply);
+        }
+    }
+
+    private static void judgeSingleExecution(String attempt, int executions, HttpReply reply) {
+        assertTrue(executions <= 1, attempt + " may be executed once and was " + executions);
+        if (reply.status() == 200 && reply.complete()) {
+            assertEquals(1, executions);
+            return;
+        }
+        assertTrue(
+                List.of(200, 502, 503, 504).contains(reply.status()),
+                attempt + " ends visibly: " + reply.status());
+        assertTrue(reply.status() != 503 || executions == 0, "a promise of no execution");
+    }
+
+    /** The number of the region to lose: that of the view's head, or another. */
+    private static int regionToLose(TestCluster cluster, boolean headIsLost) {
+        var head = ShellAnswers.viewHead(cluster.askUntil(cluster.core(0), "chain", "head 127"));
+        if (!headIsLost) {
+            return head.equals(cluster.core(2)) ? 1 : 2;
         }
+        return IntStream.range(0, REGIONS)
+                .filter(region -> head.equals(cluster.core(region)))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    private static boolean isStalled(List<StandInReplica> dark, Exchange exchange) {
+        return dark.stream().anyMatch(replica -> replica.stalled().contains(exchange.attempt));
+    }
+
+    private static void report(
+            boolean headIsLost, List<Exchange> finished, List<StandInReplica> dark) {
+        var caught = finished.stream().filter(exchange -> isStalled(dark, exchange)).toList();
+        System.out.println(
+                "region-dark head-lost "
+                        + headIsLost
+                        + ": requests "
+                        + finished.size()
+                        + ", in flight in the dark region "
+                        + caught.size()
+                        + ", of them repeatable and landed "
+                        + caught.stream().filter(Exchange::mayBeRepeated).count());
+    }
+
+    private TestCluster startThreeRegions() {
+        return TestCluster.in(dir)
+                .replica("i-p0", "plain", 0)
+                .replica("i-m0", "model", 0)
+                .replica("i-p1", "plain", 1)
+                .replica("i-m1", "model", 1)
+                .replica("i-p2", "plain", 2)
+                .replica("i-m2", "model", 2)
+                .edges(0, 1, 2)
+                .start();
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatIsInFlightWhenARegionGoesDarkLandsOnceOnSurvivors(boolean headIsLost)
-            throws Exception {
-        try (var t = new TestCluster(dir, headIsLost ? 86 : 85, 3)) {
-            for (var h = 0; h < 3; h++) {
-                t.replica("i-p" + h, "plain", h);
-                t.replica("i-m" + h, "model", h);
-            }
-            t.startEdge(0);
-            t.startEdge(1);
-            t.startEdge(2);
-            assertEquals(
-                    200,
-                    t.order("POST /configuration/replace", "0", TestCluster.configuration(3, "")));
-            t.awaitReady(0, 1, 2);
-            t.askUntil(t.edge(0), "replicas", "i-m2");
-            t.askUntil(t.edge(1), "replicas", "i-m2");
-            var head =
-                    t.askUntil(t.core(0), "chain", "head 127")
-                            .replaceAll("(?s).*head (\\S+) .*", "$1");
-            var lost =
-                    headIsLost
-                            ? Integer.parseInt(head.substring(head.lastIndexOf('.') + 1)) - 10
-                            : head.equals(t.core(2)) ? 1 : 2;
-            var a = (lost + 1) % 3;
-            var b = (lost + 2) % 3;
+    void whatIsInFlightWhenARegionGoesDarkIsCompletedOnceOnSurvivors(boolean headIsLost) {
+        try (var cluster = startThreeRegions()) {
+            cluster.askUntil(cluster.edge(0), "replicas", "i-m2");
+            cluster.askUntil(cluster.edge(1), "replicas", "i-m2");
+            var lost = regionToLose(cluster, headIsLost);
+            var left = new int[] {(lost + 1) % REGIONS, (lost + 2) % REGIONS};
             var pool = Executors.newCachedThreadPool();
-            var dark = t.replicas.stream().filter(r -> r.id.endsWith("" + lost)).toList();
-            dark.forEach(r -> r.mode = StandInReplica.Mode.STALL);
-            var sent = new ArrayList<>(load(t, pool, 0, 24, a, b));
-            var doomed = load(t, pool, 100, 4, lost);
-            while (dark.stream().mapToInt(r -> r.stalled.size()).sum() < 6) {
-                Thread.onSpinWait();
-            }
-            dark.forEach(t::mute);
-            t.freeze(t.core(lost));
-            t.freeze(t.edge(lost));
-            sent.addAll(load(t, pool, 200, 24, a, b));
-            var over = sent.stream().map(CompletableFuture::join).toList();
-            over.forEach(s -> judge(t, s));
-            var caught =
-                    over.stream()
-                            .filter(s -> dark.stream().anyMatch(r -> r.stalled.contains(s.id)))
+            var dark =
+                    cluster.replicas().stream()
+                            .filter(replica -> replica.id().endsWith("" + lost))
                             .toList();
-            assertEquals(over.size(), over.stream().map(Sent::id).distinct().count());
-            var moved =
-                    caught.stream()
-                            .filter(s -> s.kind.equals("/r/stream") || s.kind.equals("/safe/x"))
-                            .count();
-            System.out.println(
-                    "region-dark head-lost "
-                            + headIsLost
-                            + ": requests "
-                            + over.size()
-                            + ", in flight in the dark region "
-                            + caught.size()
-                            + ", of them repeatable and landed "
-                            + moved);
-            assertEquals(200, orderAt(t, "3", 5, a, b), "the rest of the core goes on");
-            dark.forEach(r -> r.mode = StandInReplica.Mode.WELL);
-            t.thaw(t.core(lost));
-            t.thaw(t.edge(lost));
-            dark.forEach(t::unmute);
-            assertTrue(
-                    t.askUntil(t.core(lost), "configuration", "revision 5").contains("revision 5"),
-                    "the region comes back to what is in force");
-            doomed.forEach(
-                    f -> {
-                        var s = f.join();
-                        assertTrue(
-                                s.kind.equals("/r/stream")
-                                        || s.kind.equals("/safe/x")
-                                        || t.replicas.stream().mapToInt(r -> r.ran(s.id)).sum()
-                                                <= 1);
-                    });
-            var serves = 0;
-            for (var i = 0; i < 400 && serves < 2; i++) {
-                serves =
-                        t.request(lost, "/r/stream", "back" + i, ENGINE, "p").status
-                                                + t.request(lost, "/safe/x", "again" + i, "", "")
-                                                        .status
-                                        == 400
-                                ? serves + 1
-                                : 0;
-            }
-            assertEquals(2, serves, "the edge that was dark serves again");
-            load(t, pool, 300, 6, a, b, lost).stream()
+            dark.forEach(replica -> replica.fault(ReplicaFault.STALL));
+            var sent = new ArrayList<>(load(cluster, pool, 0, ROUNDS, left));
+            var doomed = load(cluster, pool, DOOMED_FROM, DOOMED_ROUNDS, lost);
+            awaitStalled(dark);
+            dark.forEach(cluster::stopHeartbeats);
+            cluster.freeze(cluster.core(lost));
+            cluster.freeze(cluster.edge(lost));
+            sent.addAll(load(cluster, pool, AFTER_LOSS_FROM, ROUNDS, left));
+            var finished = sent.stream().map(CompletableFuture::join).toList();
+            finished.forEach(exchange -> judge(cluster, exchange));
+            assertEquals(
+                    finished.size(), finished.stream().map(Exchange::attempt).distinct().count());
+            report(headIsLost, finished, dark);
+            assertEquals(
+                    200, replaceConfigurationAt(cluster, left), "the rest of the core goes on");
+            dark.forEach(replica -> replica.fault(ReplicaFault.NONE));
+            cluster.thaw(cluster.core(lost));
+            cluster.thaw(cluster.edge(lost));
+            dark.forEach(cluster::resumeHeartbeats);
+            assertComesBack(cluster, lost);
+            doomed.stream()
+                    .map(CompletableFuture::join)
+                    .forEach(exchange -> assertExecutedOnceAtMost(cluster, exchange));
+            assertServesAgain(cluster, lost);
+            load(cluster, pool, LAST_FROM, LAST_ROUNDS, left[0], left[1], lost).stream()
                     .map(CompletableFuture::join)
-                    .forEach(s -> judge(t, s));
+                    .forEach(exchange -> judge(cluster, exchange));
             pool.shutdownNow();
         }
     }
 
-    private static int orderAt(TestCluster t, String base, int rev, int... cores) {
+    private static void awaitStalled(List<StandInReplica> dark) {
+        while (dark.stream().mapToInt(replica -> replica.stalled().size()).sum() < LEAST_STALLED) {
+            Thread.onSpinWait();
+        }
+    }
+
+    private static void assertComesBack(TestCluster cluster, int region) {
+        assertTrue(
+                cluster.askUntil(cluster.core(region), "configuration", "revision 5")
+                        .contains("revision 5"),
+                "the region comes back to what is in force");
+    }
+
+    private static void assertExecutedOnceAtMost(TestCluster cluster, Exchange exchange) {
+        assertTrue(exchange.mayBeRepeated() || cluster.executions(exchange.attempt) <= 1);
+    }
+
+    private static void assertServesAgain(TestCluster cluster, int edge) {
+        var inARow = 0;
+        for (var i = 0; i < RETURN_ATTEMPTS && inARow < 2; i++) {
+            var stream = cluster.prompt(edge, RESUMABLE_STREAM, "back" + i).status();
+            var plain = cluster.request(edge, IDEMPOTENT, "again" + i).status();
+            inARow = stream == 200 && plain == 200 ? inARow + 1 : 0;
+        }
+        assertEquals(2, inARow, "the edge that was dark serves again");
+    }
+
+    private static int replaceConfigurationAt(TestCluster cluster, int... cores) {
         var status = 0;
-        for (var i = 0; i < 60 && status != 200; i++) {
+        for (var i = 0; i < ORDER_ATTEMPTS && status != 200; i++) {
+            var core = cores[i % cores.length];
             status =
-                    t.operator(
-                                    cores[i % cores.length],
-                                    "POST /configuration/replace",
-                                    base,
-                                    TestCluster.configuration(rev, ""))
-                            .status;
+                    cluster.control()
+                            .replaceConfiguration(core, 3, TestConfiguration.of(5))
+                            .status();
         }
         return status;
     }
--- a/launcher/src/test/java/martenloom/launcher/golden/ControlApiGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/ControlApiGoldenTest.java
@@ -8,8 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
+import martenloom.launcher.harness.HttpReply;
 import martenloom.launcher.harness.TestCluster;
-import martenloom.launcher.harness.TestHttpClient;
+import martenloom.launcher.harness.TestConfiguration;
+import martenloom.launcher.harness.TestRoute;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -25,29 +27,29 @@
 
     private final StringBuilder transcript = new StringBuilder();
 
-    @TempDir Path dir;
+    @TempDir private Path dir;
 
     /** Calls again while the daemon, which has just started, is not yet in service. */
     private static void untilInService(TestCluster cluster) {
-        assertEquals(400, cluster.order("POST /configuration/replace", "0", "{"));
+        assertEquals(400, cluster.control().replaceConfiguration(0, "{"));
     }
 
     private void call(TestCluster cluster, String call, String base, String body) {
-        var answer = cluster.operator(0, call, base, body);
+        var answer = cluster.control().call(0, call, base, body);
         transcript.append("> ").append(call);
         transcript.append(base.isEmpty() ? "" : " X-Base-Revision: " + base).append('\n');
         body.lines().forEach(line -> transcript.append("> ").append(line).append('\n'));
-        transcript.append("< ").append(answer.status).append('\n');
-        FIELDS.stream().filter(answer.fields::containsKey).forEach(field -> field(field, answer));
-        normal(answer.body)
+        transcript.append("< ").append(answer.status()).append('\n');
+        FIELDS.stream().filter(answer.fields()::containsKey).forEach(field -> field(field, answer));
+        normal(answer.body())
                 .lines()
                 .forEach(line -> transcript.append("< ").append(line).append('\n'));
         transcript.append('\n');
     }
 
-    private void field(String name, TestHttpClient.Reply answer) {
+    private void field(String name, HttpReply answer) {
         transcript.append("< ").append(name).append(": ");
-        transcript.append(answer.fields.get(name)).append('\n');
+        transcript.append(answer.field(name)).append('\n');
     }
 
     private static String normal(String body) {
@@ -67,25 +69,24 @@
         var replace = "POST /configuration/replace";
         var update = "POST /configuration/update";
         get(cluster, "/configuration/describe");
-        call(cluster, replace, "", TestCluster.configuration(3, ""));
-        call(cluster, replace, "x", TestCluster.configuration(3, ""));
+        call(cluster, replace, "", TestConfiguration.of(3));
+        call(cluster, replace, "x", TestConfiguration.of(3));
         call(cluster, replace, "0", "not { JSON");
         call(cluster, replace, "0", "{}");
-        call(cluster, replace, "1", TestCluster.configuration(3, ""));
-        call(cluster, replace, "0", TestCluster.configuration(3, ""));
-        call(cluster, replace, "0", TestCluster.configuration(3, ""));
-        call(cluster, replace, "3", TestCluster.configuration(2, ""));
-        call(cluster, replace, "0", TestCluster.configuration(4, ""));
+        call(cluster, replace, "1", TestConfiguration.of(3));
+        call(cluster, replace, "0", TestConfiguration.of(3));
+        call(cluster, replace, "0", TestConfiguration.of(3));
+        call(cluster, replace, "3", TestConfiguration.of(2));
+        call(cluster, replace, "0", TestConfiguration.of(4));
         call(
                 cluster,
                 replace,
                 "3",
-                TestCluster.configuration(4, "")
-                        .replace("Backend\":\"plain\"", "Backend\":\"absent\""));
-        call(cluster, replace, "3", TestCluster.configuration(4, "").replace("8000", "0"));
-        var late = TestCluster.route("late", "/late/", "idempotent", "plain", 1, false, "");
-        call(cluster, update, "3", "{\"Revision\":20,\"Upsert\":{\"Routes\":[" + late + "]}}");
-        call(cluster, update, "3", "{\"Revision\":21,\"Upsert\":{\"Routes\":[" + late + "]}}");
+                TestConfiguration.of(4).replace("Backend\":\"plain\"", "Backend\":\"absent\""));
+        call(cluster, replace, "3", TestConfiguration.of(4).replace("8000", "0"));
+        var late = new TestRoute("late", "/late/", "idempotent", "plain", 1);
+        call(cluster, update, "3", TestConfiguration.upsert(20, late));
+        call(cluster, update, "3", TestConfiguration.upsert(21, late));
         call(cluster, update, "20", "{\"Revision\":21,\"Remove\":{\"Routes\":[\"absent\"]}}");
         call(cluster, update, "21", "{\"Revision\":22,\"Remove\":{\"Routes\":[\"late\"]}}");
         call(cluster, update, "", "{\"Revision\":23}");
@@ -202,7 +203,7 @@
     /** The readiness of an edge reaches the core with its next renewal. */
     private static void untilTheEdgeIsListed(TestCluster cluster) {
         for (var calls = 0; calls < 2_000; calls++) {
-            if (cluster.operator(0, "GET /lookup", "", "").status == 200) {
+            if (cluster.control().get(0, "/lookup").status() == 200) {
                 return;
             }
         }
@@ -211,14 +212,9 @@
 
     /** Orders for the region of the only replica, with a route that allows only that region. */
     private void ordersForTheOnlyReplica(TestCluster cluster) {
-        var pinned =
-                TestCluster.route("pinned", "/n/", "streaming", "model", 1, false, "\"north\"");
+        var pinned = new TestRoute("pinned", "/n/", "streaming", "model", 1).onlyIn("north");
         get(cluster, "/configuration/describe");
-        call(
-                cluster,
-                "POST /configuration/update",
-                "22",
-                "{\"Revision\":30,\"Upsert\":{\"Routes\":[" + pinned + "]}}");
+        call(cluster, "POST /configuration/update", "22", TestConfiguration.upsert(30, pinned));
         post(cluster, "/placements/north/m/unload", "");
         post(cluster, "/placements/north/m/load", "");
         post(cluster, "/evacuations/north-a/start", "");
@@ -227,7 +223,8 @@
 
     @Test
     void everyCallIsAnsweredAsRecorded() throws IOException {
-        try (var cluster = new TestCluster(dir, 61, 1)) {
+        try (var cluster =
+                TestCluster.in(dir).network(61).cores(1).withoutConfiguration().start()) {
             untilInService(cluster);
             lookUp(cluster);
             configurations(cluster);
@@ -236,7 +233,7 @@
             replicas(cluster);
             jobs(cluster);
             unknownCalls(cluster);
-            cluster.replica("replica-9", "model", 0);
+            cluster.addReplica("replica-9", "model", 0);
             cluster.startEdge(0);
             cluster.awaitReady(0);
             untilTheEdgeIsListed(cluster);
--- a/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/CoreRecordsGoldenTest.java
@@ -18,6 +18,7 @@
 import martenloom.common.fleet.RecordType;
 import martenloom.common.settings.SettingsFile;
 import martenloom.launcher.harness.TestCluster;
+import martenloom.launcher.harness.TestConfiguration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -37,13 +38,16 @@
     private static final String REPLICA = "t t t t 4 8 1? 8? 8 8?";
     private static final String EDGE = "t t t t t 1 8 8 8 8?";
 
+    private static final String FLOOD = "1 8? ( " + REPLICA + " ) ( " + EDGE + " )";
+    private static final String CONFIGURATION = "1 8? 8 t ( t ) ( t 4 1 ( t ) )";
+    private static final String RESPONSE = "1 8 8 4 t";
     private static final String DIGESTS = "1" + " 4".repeat(DigestRanges.COUNT);
     private static final byte[] SIGN_OF_LIFE =
             new RecordWriter(RecordType.KNOWN_PEERS).i32(0).bytes();
 
     private final GoldenBytes golden = new GoldenBytes("core-records.txt");
 
-    @TempDir Path dir;
+    @TempDir private Path dir;
 
     // ---- what the other side sends
 
@@ -169,105 +173,113 @@
     }
 
     private static int internalPort(TestCluster cluster) {
-        return SettingsFile.parse(cluster.settingsText(0)).firstInternalPort();
+        return SettingsFile.parse(cluster.edgeSettingsText(0)).firstInternalPort();
+    }
+
+    /** A core daemon that runs alone. */
+    private TestCluster startOneCore(int network) {
+        return TestCluster.in(dir).network(network).cores(1).withoutConfiguration().start();
     }
 
     private static void prepare(TestCluster cluster) {
+        assertEquals(200, cluster.control().replaceConfiguration(0, TestConfiguration.of(3)));
+        assertEquals(200, cluster.control().postUntilSettled("/evacuations/south-b/start"));
+        assertEquals(200, cluster.control().postUntilSettled("/placements/west/m/unload"));
         assertEquals(
                 200,
-                cluster.order(
-                        "POST /configuration/replace", "0", TestCluster.configuration(3, "")));
-        assertEquals(200, cluster.order("POST /evacuations/south-b/start", "", ""));
-        assertEquals(200, cluster.order("POST /placements/west/m/unload", "", ""));
+                cluster.control()
+                        .postUntilSettled(
+                                "/jobs/job-1/submit",
+                                "{\"Hostname\":\"cluster.example\",\"Path\":\"/safe/x\",\"DueMs\":600000,"
+                                    + "\"Headers\":{\"X-Prompt-Prefix\":\"shared-part:9\"},"
+                                    + "\"Body\":\"b\"}"));
         assertEquals(
                 200,
-                cluster.order(
-                        "POST /jobs/job-1/submit",
-                        "",
-                        "{\"Hostname\":\"cluster.example\",\"Path\":\"/safe/x\",\"DueMs\":600000,"
-                                + "\"Headers\":{\"X-Prompt-Prefix\":\"shared-part:9\"},"
-                                + "\"Body\":\"b\"}"));
-        assertEquals(
-                200,
-                cluster.operator(
+                cluster.control()
+                        .post(
                                 0,
-                                "POST /instances/replica-1/heartbeat",
-                                "",
+                                "/instances/replica-1/heartbeat",
                                 "{\"Backend\":\"model\",\"Address\":\"127.58.3.40:9000\","
                                         + "\"Zone\":\"north-a\",\"Capacity\":8,\"Sequence\":5}")
-                        .status);
+                        .status());
+    }
+
+    /** Checks the bytes of a record against the recorded ones, and sends those. */
+    private void checkAndSend(PlainPeer peer, String name, byte[] record) throws IOException {
+        golden.check(name, record);
+        peer.send(golden.bytes(name));
     }
 
     @Test
     void anEdgeIsAnsweredAsRecorded() throws IOException {
-        try (var cluster = new TestCluster(dir, NET, 1)) {
+        try (var cluster = startOneCore(NET)) {
             prepare(cluster);
             var port = internalPort(cluster);
             try (var peer = PlainPeer.connect(PEER_IP, cluster.core(0), port);
                     var edge = PlainPeer.connect(EDGE_IP, cluster.core(0), port)) {
-                golden.check("from-core.hello-of-many-edges", hello("south", 100));
-                peer.send(golden.bytes("from-core.hello-of-many-edges"));
+                checkAndSend(peer, "from-core.hello-of-many-edges", hello("south", 100));
                 peer.next(RecordType.KNOWN_PEERS);
-                golden.check("from-edge.renewal", renewal(1, false, List.of("jobs/north")));
-                edge.send(golden.bytes("from-edge.renewal"));
-                check(
-                        "to-edge.replicas",
-                        edge.next(RecordType.REPLICA_UPDATE),
-                        "1 1 ( " + REPLICA + " )");
-                check(
-                        "to-edge.configuration",
-                        edge.next(RecordType.CONFIGURATION),
-                        "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
-                check(
-                        "to-edge.news",
-                        edge.next(RecordType.EDGE_LEASE_RESPONSE),
-                        "1 8 8? 8? 8? 4? 4 4 ( t ) 1 8 ( t 4 )");
-                check("to-edge.grant", edge.next(RecordType.LEASE_GRANT), "1 t t 8? 8 8");
-                edge.send(renewal(2, false, List.of("jobs/north")));
-                check("to-edge.jobs", edge.next(RecordType.JOB_LIST), "1 ( t 1 8 4 8? 8 t t )");
-
-                golden.check("from-edge.sample", sample());
-                edge.send(golden.bytes("from-edge.sample"));
-                check(
-                        "to-edge.whole-sum",
-                        sumOfSample(edge),
-                        "1 8 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t ) 4 ( t 4 4 1 1 4 ) ( t 4 )");
-
-                golden.check("from-edge.report", report());
-                edge.send(golden.bytes("from-edge.report"));
-                assertTrue(
-                        Arrays.equals(report(), edge.next(RecordType.OVERLOAD_REPORT)),
-                        "a report is passed on as it came");
-
-                golden.check("from-edge.order", edgeOrder("REPLACE", "x"));
-                edge.send(golden.bytes("from-edge.order"));
-                check("to-edge.order-refused", edge.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
-                golden.check("from-edge.job-start", edgeOrder("JOB_START", "job-unknown"));
-                edge.send(golden.bytes("from-edge.job-start"));
-                check("to-edge.job-refused", edge.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
-
-                assertEquals(200, cluster.order("POST /evacuations/south-b/finish", "", ""));
-                check(
-                        "to-edge.configuration-without-text",
-                        configuration(edge, record -> !contains(record, "south-b")),
-                        "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
-                edge.send(new RecordWriter(RecordType.RESYNC_REQUEST).bytes());
-                check(
-                        "to-edge.configuration-after-evacuation",
-                        configuration(edge, record -> contains(record, "revision")),
-                        "1 8? 8 t ( t ) ( t 4 1 ( t ) )");
-                check(
-                        "to-edge.replicas",
-                        edge.next(RecordType.REPLICA_UPDATE),
-                        "1 1 ( " + REPLICA + " )");
-
-                golden.check("query", query());
-                edge.send(golden.bytes("query"));
+                checkFirstRenewal(edge);
+                checkLoadReports(edge);
+                checkRequests(edge);
+                assertEquals(
+                        200, cluster.control().postUntilSettled("/evacuations/south-b/finish"));
+                checkResync(edge);
+                checkAndSend(edge, "query", query());
                 check("text", edge.next(RecordType.SHELL_RESPONSE), "1 t");
             }
         }
     }
 
+    private void checkReplicas(PlainPeer edge) throws IOException {
+        check("to-edge.replicas", edge.next(RecordType.REPLICA_UPDATE), "1 1 ( " + REPLICA + " )");
+    }
+
+    private void checkFirstRenewal(PlainPeer edge) throws IOException {
+        checkAndSend(edge, "from-edge.renewal", renewal(1, false, List.of("jobs/north")));
+        checkReplicas(edge);
+        check("to-edge.configuration", edge.next(RecordType.CONFIGURATION), CONFIGURATION);
+        check(
+                "to-edge.news",
+                edge.next(RecordType.EDGE_LEASE_RESPONSE),
+                "1 8 8? 8? 8? 4? 4 4 ( t ) 1 8 ( t 4 )");
+        check("to-edge.grant", edge.next(RecordType.LEASE_GRANT), "1 t t 8? 8 8");
+        edge.send(renewal(2, false, List.of("jobs/north")));
+        check("to-edge.jobs", edge.next(RecordType.JOB_LIST), "1 ( t 1 8 4 8? 8 t t )");
+    }
+
+    private void checkLoadReports(PlainPeer edge) throws IOException {
+        checkAndSend(edge, "from-edge.sample", sample());
+        check(
+                "to-edge.whole-sum",
+                sumOfSample(edge),
+                "1 8 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t ) 4 ( t 4 4 1 1 4 ) ( t 4 )");
+        checkAndSend(edge, "from-edge.report", report());
+        assertTrue(
+                Arrays.equals(report(), edge.next(RecordType.OVERLOAD_REPORT)),
+                "a report is passed on as it came");
+    }
+
+    private void checkRequests(PlainPeer edge) throws IOException {
+        checkAndSend(edge, "from-edge.order", edgeOrder("REPLACE", "x"));
+        check("to-edge.order-refused", edge.next(RecordType.ORDER_RESPONSE), RESPONSE);
+        checkAndSend(edge, "from-edge.job-start", edgeOrder("JOB_START", "job-unknown"));
+        check("to-edge.job-refused", edge.next(RecordType.ORDER_RESPONSE), RESPONSE);
+    }
+
+    private void checkResync(PlainPeer edge) throws IOException {
+        check(
+                "to-edge.configuration-without-text",
+                configuration(edge, record -> !contains(record, "south-b")),
+                CONFIGURATION);
+        edge.send(new RecordWriter(RecordType.RESYNC_REQUEST).bytes());
+        check(
+                "to-edge.configuration-after-evacuation",
+                configuration(edge, record -> contains(record, "revision")),
+                CONFIGURATION);
+        checkReplicas(edge);
+    }
+
     /** The next configuration of that kind; committed changes bring others at any time. */
     private static byte[] configuration(PlainPeer edge, Predicate<byte[]> sought)
             throws IOException {
@@ -293,52 +305,44 @@
 
     @Test
     void anotherCoreDaemonIsAnsweredAsRecorded() throws IOException {
-        try (var cluster = new TestCluster(dir, NET + 1, 1)) {
+        try (var cluster = startOneCore(NET + 1)) {
             prepare(cluster);
             var port = internalPort(cluster);
             try (var server = new ServerSocket(port, 5, InetAddress.getByName(PEER_IP));
                     var peer = PlainPeer.connect(PEER_IP, cluster.core(0), port);
                     var edge = PlainPeer.connect(EDGE_IP, cluster.core(0), port)) {
                 server.setSoTimeout(20_000);
-                golden.check("from-core.hello", hello("north", 7));
-                peer.send(golden.bytes("from-core.hello"));
+                checkAndSend(peer, "from-core.hello", hello("north", 7));
                 check("to-core.heard", peer.next(RecordType.KNOWN_PEERS), "1 ( t )");
                 try (var dialed = new PlainPeer(server.accept())) {
-                    check("to-core.hello", dialed.next(RecordType.HELLO), "1 t t 4 8?");
-                    dialed.send(SIGN_OF_LIFE);
-                    edge.send(renewal(1, false, List.of()));
-                    floodOfEdge(dialed);
-                    edge.send(renewal(2, true, List.of()));
-                    check(
-                            "to-core.flood",
-                            floodOfEdge(dialed),
-                            "1 8? ( " + REPLICA + " ) ( " + EDGE + " )");
-                    dialed.send(SIGN_OF_LIFE);
-                    edge.send(sample());
-                    check(
-                            "to-core.home-sum",
-                            sumOfHome(dialed),
-                            "1 t 8? 8? 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t )");
-                    check("to-core.digests", dialed.next(RecordType.REGISTRY_DIGEST), DIGESTS);
-
-                    dialed.send(SIGN_OF_LIFE);
-                    golden.check("from-core.digests", digestsThatDiffer());
-                    peer.send(golden.bytes("from-core.digests"));
-                    check(
-                            "to-core.mending-flood",
-                            floodOfEdge(dialed),
-                            "1 8? ( " + REPLICA + " ) ( " + EDGE + " )");
+                    checkDialedConnection(dialed, peer, edge);
                 }
-                golden.check("from-core.order", order());
-                peer.send(golden.bytes("from-core.order"));
-                check("to-core.answer", peer.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
-                golden.check("from-core.confirmed-flood", confirmedFlood());
-                peer.send(golden.bytes("from-core.confirmed-flood"));
-                check("to-core.confirmation", peer.next(RecordType.ORDER_RESPONSE), "1 8 8 4 t");
+                checkAndSend(peer, "from-core.order", order());
+                check("to-core.answer", peer.next(RecordType.ORDER_RESPONSE), RESPONSE);
+                checkAndSend(peer, "from-core.confirmed-flood", confirmedFlood());
+                check("to-core.confirmation", peer.next(RecordType.ORDER_RESPONSE), RESPONSE);
             }
         }
     }
 
+    /** What the daemon sends on the connection that it opened to the other core daemon. */
+    private void checkDialedConnection(PlainPeer dialed, PlainPeer peer, PlainPeer edge)
+            throws IOException {
+        check("to-core.hello", dialed.next(RecordType.HELLO), "1 t t 4 8?");
+        dialed.send(SIGN_OF_LIFE);
+        edge.send(renewal(1, false, List.of()));
+        floodOfEdge(dialed);
+        edge.send(renewal(2, true, List.of()));
+        check("to-core.flood", floodOfEdge(dialed), FLOOD);
+        dialed.send(SIGN_OF_LIFE);
+        edge.send(sample());
+        check("to-core.home-sum", sumOfHome(dialed), "1 t 8? 8? 4 ( t 4 4 1 1 4 ) ( t 4 ) ( t t )");
+        check("to-core.digests", dialed.next(RecordType.REGISTRY_DIGEST), DIGESTS);
+        dialed.send(SIGN_OF_LIFE);
+        checkAndSend(peer, "from-core.digests", digestsThatDiffer());
+        check("to-core.mending-flood", floodOfEdge(dialed), FLOOD);
+    }
+
     /** The next flood that has the row of the edge. */
     private static byte[] floodOfEdge(PlainPeer peer) throws IOException {
         var flood = peer.next(RecordType.REGISTRY_UPDATE);
--- a/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
+++ b/launcher/src/test/java/martenloom/launcher/golden/EdgeRecordsGoldenTest.java
@@ -4,15 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import io.activej.eventloop.Eventloop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import martenloom.common.clock.Clocks;
 import martenloom.common.codec.RecordReader;
 import martenloom.common.codec.RecordWriter;
 import martenloom.common.fleet.EdgeRecord;
@@ -22,6 +19,7 @@
 import martenloom.common.jobs.JobState;
 import martenloom.common.settings.SettingsFile;
 import martenloom.edge.EdgeDaemon;
+import martenloom.launcher.harness.ReactorThread;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -39,22 +37,11 @@
 
     private final GoldenBytes golden = new GoldenBytes("edge-records.txt");
     private final GoldenBytes ofCore = new GoldenBytes("core-records.txt");
-    private final Eventloop loop = Clocks.reactor("golden-edge");
+    private final ReactorThread reactor = ReactorThread.start("golden-edge");
 
     @AfterEach
-    void endTheEdge() {
-        loop.execute(
-                () -> {
-                    for (var key : List.copyOf(loop.getSelector().keys())) {
-                        try {
-                            key.channel().close();
-                        } catch (IOException e) {
-                            continue;
-                        }
-                    }
-                    loop.keepAlive(false);
-                    loop.breakEventloop();
-                });
+    void stopEdge() {
+        reactor.stop();
     }
 
     private static String settingsText(int port) {
@@ -79,21 +66,12 @@
     }
 
     private void startEdge(int port) {
-        var started = new CompletableFuture<Boolean>();
-        loop.keepAlive(true);
-        loop.execute(
+        reactor.call(
                 () -> {
-                    try {
-                        new EdgeDaemon(SettingsFile.parse(settingsText(port)), loop).start();
-                        started.complete(true);
-                    } catch (IOException e) {
-                        started.completeExceptionally(e);
-                    }
+                    var settings = SettingsFile.parse(settingsText(port));
+                    new EdgeDaemon(settings, reactor.reactor()).start();
+                    return settings;
                 });
-        var thread = new Thread(loop::run, "golden-edge");
-        thread.setDaemon(true);
-        thread.start();
-        started.join();
     }
 
     // ---- what the home sends
--- /dev/null
+++ b/launcher/src/test/java/martenloom/launcher/harness/ClusterSettings.java
@@ -0,0 +1,73 @@
+package martenloom.launcher.harness;
+
+import java.nio.file.Path;
+import java.util.List;
+import java.util.stream.IntStream;
+
+/** The settings files of a test cluster's daemons. Immutable. */
+final class ClusterSettings {
+    private static final int MOST_SEEDS = 3;
+    private static final int MORE_INTERNAL_PORTS = 10;
+    private static final int HEARTBEAT_INTERVAL_MS = 300;
+    private static final int MAX_FILE_DESCRIPTORS = 2000;
+    private static final int GRACE_PERIOD_S = 5;
+    private static final int RETRY_SLACK = 50;
+    private static final double RETRY_BUDGET_RATIO = 0.2;
+
+    private final ClusterLayout layout;
+    private final Path dir;
+    private final List<String> seeds;
+
+    ClusterSettings(ClusterLayout layout, Path dir, int cores) {
+        this.layout = layout;
+        this.dir = dir;
+        seeds = IntStream.range(0, Math.min(MOST_SEEDS, cores)).mapToObj(layout::control).toList();
+    }
+
+    /** The folder of a core daemon's files. */
+    Path coreDirectory(int core) {
+        return dir.resolve("core" + core);
+    }
+
+    String core(int core, boolean bootstrap, int internalPort) {
+        var text = common("core", core, layout.core(core), internalPort);
+        text.quoted("ControlPlane", layout.control(core));
+        bounds(text);
+        return "Bootstrap = " + bootstrap + "\nQuorumMember = true\n" + text;
+    }
+
+    String edge(int edge) {
+        var ip = layout.edge(edge);
+        var text = common("edge", edge, ip, ClusterLayout.INTERNAL_PORT);
+        text.quoted("Frontend", ip + ":" + ClusterLayout.FRONT_PORT);
+        text.quoted("Readiness", ip + ":" + ClusterLayout.READINESS_PORT);
+        bounds(text);
+        return "Bootstrap = false\nQuorumMember = false\n" + text;
+    }
+
+    /** All up to the addresses at which the daemon listens. */
+    private SettingsText common(String role, int number, String ip, int internalPort) {
+        var zone = ClusterLayout.zone(number);
+        var text =
+                new SettingsText(role + number, ip)
+                        .located(zone, ClusterLayout.region(zone))
+                        .internalPorts(internalPort, internalPort + MORE_INTERNAL_PORTS)
+                        .seeds(seeds)
+                        .dataDirectory(dir.resolve(role + number))
+                        .value("HeartbeatIntervalMs", HEARTBEAT_INTERVAL_MS)
+                        .value("Serves", "[\"" + role + "\"]")
+                        .section("Zones");
+        ClusterLayout.zones().forEach(each -> text.quoted(each, ClusterLayout.region(each)));
+        return text.section("ListenAddresses");
+    }
+
+    private static void bounds(SettingsText text) {
+        text.section("Limits").value("MaxFileDescriptors", MAX_FILE_DESCRIPTORS);
+        text.section("Bounds")
+                .value("GracePeriodS", GRACE_PERIOD_S)
+                .value("RetrySlack", RETRY_SLACK)
+                .value("RetryBudgetRatio", RETRY_BUDGET_RATIO)
+                .value("WarmupOverage", 1.0)
+                .value("WarmupSlack", 0);
+    }
+}
--- a/launcher/src/test/java/martenloom/launcher/harness/StandInReplica.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/StandInReplica.java
@@ -1,21 +1,14 @@
 package martenloom.launcher.harness;
 
-import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.IOException;
-import java.io.InputStream;
-import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -25,419 +18,242 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Predicate;
 
-/** A stand-in for a replica, with switches for its faults; it counts what it ran by id. */
+/**
+ * A stand-in for a replica: it accepts connections, serves each on a thread of its own with the
+ * fault that a test has set, and counts what it executed by attempt id. Thread-safe.
+ */
 public final class StandInReplica implements Closeable {
-    /** How the stand-in misbehaves. */
-    public enum Mode {
-        WELL,
-        CUT_STREAM,
-        RESET,
-        EXTRA,
-        GARBLE,
-        NOT_RUN,
-        SILENT,
-        LATE_OTHER,
-        FLAKY,
-        FORGETS,
-        STALL,
-        /** Halts in the middle of a stream until it is resumed. */
-        PAUSE,
-        /** Writes events for as long as the connection bears it. */
-        FLOOD,
-        /** Answers before it has read the body, and reads on once it is resumed. */
-        EARLY,
-        /** Answers without a length and closes the connection in order. */
-        UNFRAMED,
-        /** Answers without a length and resets the connection on the way. */
-        UNFRAMED_RESET,
-        /**
-         * On a connection that has served before: one more answer, with no id, before the right
-         * one.
-         */
-        STRAY,
-        /**
-         * Refuses each request at first; when it comes again on that connection, it sends the
-         * refusal once more and then runs it.
-         */
-        REFUSAL_TWICE,
-        /** Runs a request and answers 503 without saying that it was not executed. */
-        BUSY_AFTER_RUN
-    }
-
-    /** Among the fields of a send: when it arrived, by nanoTime. */
-    public static final String ARRIVED = ":arrived";
-
-    public final String id;
-    public final String service;
-    public final String zone;
-    public final String address;
-    public volatile Mode mode = Mode.WELL;
-
-    /** Only for measuring: how long a run takes, with as many places as the beats say. */
-    public volatile int workMs;
-
-    public final LongAdder busyMs = new LongAdder();
-
-    /** Requests that a failing replica fails; a part of them, or those of some callers only. */
-    public volatile Predicate<String> fails = a -> true;
-
-    /** Requests that have come to a halt here, in the middle of a stream or before any answer. */
-    public final Set<String> stalled = ConcurrentHashMap.newKeySet();
+    /** Requests that are executed at the same time while an execution takes time. */
+    private static final int CAPACITY = 8;
 
-    /** The fields of every send that arrived, in order, by attempt. */
-    public final Map<String, List<Map<String, String>>> sends = new ConcurrentHashMap<>();
+    private static final long RESUME_TIMEOUT_S = 20;
 
-    /** Lets go on what halted in the modes PAUSE and EARLY. */
-    public volatile CountDownLatch resume = new CountDownLatch(1);
-
-    /** In the mode REFUSAL_TWICE: the attempt that each connection refused last. */
-    private final Map<Socket, String> refused = new ConcurrentHashMap<>();
-
-    private final Map<String, CompletableFuture<Long>> signals = new ConcurrentHashMap<>();
-    private final Semaphore places = new Semaphore(8, true);
-    public final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    public final Map<String, String> heads = new ConcurrentHashMap<>();
-    public final AtomicInteger seq = new AtomicInteger();
-    private final ServerSocket door;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final ExecutorService hands =
+    private final String id;
+    private final String service;
+    private final String zone;
+    private final String address;
+    private final ReceivedRequests requests = new ReceivedRequests();
+    private final AtomicInteger heartbeatSequence = new AtomicInteger();
+    private final Semaphore capacity = new Semaphore(CAPACITY, true);
+    private final LongAdder busyMs = new LongAdder();
+    private final ServerSocket server = new ServerSocket();
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
+    private final ExecutorService threads =
             Executors.newCachedThreadPool(
-                    r -> {
-                        var t = new Thread(r, "stand-in");
-                        t.setDaemon(true);
-                        return t;
+                    task -> {
+                        var thread = new Thread(task, "stand-in");
+                        thread.setDaemon(true);
+                        return thread;
                     });
 
+    private volatile ReplicaFault fault = ReplicaFault.NONE;
+    private volatile int executionMs;
+    private volatile Predicate<String> failing = attempt -> true;
+    private volatile CountDownLatch resumed = new CountDownLatch(1);
+
+    /** Starts to listen at a free port of this loopback address. */
     public StandInReplica(String id, String service, String zone, String ip) throws IOException {
         this.id = id;
         this.service = service;
         this.zone = zone;
-        door = new ServerSocket();
-        door.bind(new InetSocketAddress(ip, 0));
-        address = ip + ":" + door.getLocalPort();
-        hands.execute(this::accept);
+        server.bind(new InetSocketAddress(ip, 0));
+        address = ip + ":" + server.getLocalPort();
+        threads.execute(this::accept);
     }
 
     private void accept() {
         try {
             while (true) {
-                var s = door.accept();
-                open.add(s);
-                hands.execute(() -> serve(s));
+                var socket = server.accept();
+                connections.add(socket);
+                threads.execute(() -> serve(socket));
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    public int ran(String attempt) {
-        return runs.getOrDefault(attempt, new AtomicInteger()).get();
+    private void serve(Socket socket) {
+        try (socket) {
+            new ReplicaConnection(this, requests, socket).serve();
+        } catch (IOException e) {
+            return;
+        } finally {
+            connections.remove(socket);
+        }
     }
 
-    /**
-     * When (by nanoTime) something came about here: "halted ID", "left ID" (its connection has
-     * ended), "read ID" (its body).
-     */
-    public CompletableFuture<Long> signal(String what) {
-        return signals.computeIfAbsent(what, k -> new CompletableFuture<>());
+    public String id() {
+        return id;
     }
 
-    private void tell(String what) {
-        signal(what).complete(System.nanoTime());
+    public String service() {
+        return service;
     }
 
-    public int ranAll() {
-        return runs.values().stream().mapToInt(AtomicInteger::get).sum();
+    public String zone() {
+        return zone;
     }
 
-    private void serve(Socket s) {
-        try (s) {
-            var in = new BufferedInputStream(s.getInputStream());
-            var out = s.getOutputStream();
-            for (var n = 0; one(s, in, out, n); n++) {}
-        } catch (IOException e) {
-            return;
-        } finally {
-            open.remove(s);
-        }
+    public String address() {
+        return address;
     }
 
-    private boolean one(Socket s, InputStream in, OutputStream out, int before) throws IOException {
-        var start = TestHttpClient.line(in);
-        if (start.isEmpty()) {
-            return false;
-        }
-        if (mode == Mode.FORGETS && before > 0) {
-            s.setSoLinger(true, 0);
-            return false;
-        }
-        var f = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
-        for (var l = TestHttpClient.line(in); !l.isEmpty(); l = TestHttpClient.line(in)) {
-            f.put(l.substring(0, l.indexOf(':')), l.substring(l.indexOf(':') + 1).strip());
-        }
-        var length = Integer.parseInt(f.getOrDefault("Content-Length", "0"));
-        var a = f.getOrDefault("X-Attempt-Id", "");
-        f.put(ARRIVED, String.valueOf(System.nanoTime()));
-        sends.computeIfAbsent(a, k -> new CopyOnWriteArrayList<>()).add(f);
-        if (mode == Mode.EARLY) {
-            return answerEarly(in, out, a, start + " " + f, length);
-        }
-        var body = in.readNBytes(length);
-        if (!f.getOrDefault("X-Target-Instance", id).equals(id)) {
-            out.write(
-                    ("HTTP/1.1 421 Misdirected\r\nX-Attempt-Id: "
-                                    + a
-                                    + "\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
-                            .getBytes());
-            return true;
-        }
-        if (mode == Mode.NOT_RUN) {
-            out.write(
-                    ("HTTP/1.1 503 Full\r\nX-Attempt-Id: "
-                                    + a
-                                    + "\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
-                            .getBytes());
-            return true;
-        }
-        if (mode == Mode.REFUSAL_TWICE && (sends.get(a).size() == 1 || a.equals(refused.get(s)))) {
-            out.write(
-                    ("HTTP/1.1 503 Full\r\nX-Attempt-Id: "
-                                    + a
-                                    + "\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
-                            .getBytes());
-            if (!a.equals(refused.put(s, a))) {
-                return true;
-            }
-        }
-        runs.computeIfAbsent(a, k -> new AtomicInteger()).incrementAndGet();
-        heads.put(a, start + " " + f + " " + new String(body, StandardCharsets.UTF_8));
-        if (workMs > 0) {
-            work();
-        }
-        if (mode == Mode.RESET) {
-            s.setSoLinger(true, 0);
-            return false;
-        }
-        if (mode == Mode.FLAKY && fails.test(a)) {
-            out.write(
-                    ("HTTP/1.1 500 Broken\r\nX-Attempt-Id: "
-                                    + a
-                                    + "\r\nX-Server-Seal: seal-"
-                                    + id
-                                    + "\r\nContent-Length: 0\r\n\r\n")
-                            .getBytes());
-            return true;
-        }
-        if (mode == Mode.STALL && !start.contains("/stream")) {
-            return stall(in, a);
-        }
-        if (mode == Mode.SILENT) {
-            return stall(in, a);
-        }
-        if (mode == Mode.BUSY_AFTER_RUN) {
-            out.write(
-                    ("HTTP/1.1 503 Busy\r\nX-Attempt-Id: "
-                                    + a
-                                    + "\r\nX-Server-Seal: seal-"
-                                    + id
-                                    + "\r\nContent-Length: 0\r\n\r\n")
-                            .getBytes());
-            return true;
-        }
-        if (mode == Mode.STRAY && before > 0) {
-            out.write(
-                    "HTTP/1.1 200 OK\r\nX-Server-Seal: old\r\nContent-Length: 5\r\n\r\nstale"
-                            .getBytes());
-        }
-        if (mode == Mode.GARBLE) {
-            out.write("ceci n'est pas une reponse\r\n\r\n".getBytes());
-            return false;
-        }
-        if (mode == Mode.LATE_OTHER) {
-            out.write(
-                    ("HTTP/1.1 200 OK\r\n"
-                                    + "X-Attempt-Id: 0123\r\n"
-                                    + "X-Server-Seal: old\r\n"
-                                    + "Content-Length: 5\r\n\r\n"
-                                    + "stale")
-                            .getBytes());
-        }
-        if (start.contains("/stream")) {
-            return stream(
-                    s,
-                    in,
-                    out,
-                    a,
-                    Integer.parseInt(
-                            f.getOrDefault("Last-Event-Id", "0").isEmpty()
-                                    ? "0"
-                                    : f.getOrDefault("Last-Event-Id", "0")));
-        }
-        var text = "done by " + service + " for " + a;
-        if (mode == Mode.UNFRAMED || mode == Mode.UNFRAMED_RESET) {
-            return unframed(
-                    s, in, out, head(a), mode == Mode.UNFRAMED ? text : text.substring(0, 5));
-        }
-        var answer =
-                "HTTP/1.1 200 OK\r\nX-Attempt-Id: "
-                        + a
-                        + "\r\nX-Server-Seal: seal-"
-                        + id
-                        + "\r\nContent-Length: "
-                        + text.length()
-                        + "\r\n\r\n"
-                        + text;
-        out.write((answer + (mode == Mode.EXTRA ? answer : "")).getBytes());
-        out.flush();
-        return true;
+    // ---- what a test sets
+
+    public ReplicaFault fault() {
+        return fault;
     }
 
-    private String head(String a) {
-        return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + a + "\r\nX-Server-Seal: seal-" + id + "\r\n";
+    /** From now on requests meet this fault. */
+    public void fault(ReplicaFault next) {
+        fault = next;
     }
 
-    /**
-     * In UNFRAMED_RESET what was written has been read (a signal of the test says so) before the
-     * reset, which would drop it.
-     */
-    private boolean unframed(Socket s, InputStream in, OutputStream out, String head, String text)
-            throws IOException {
-        out.write((head + "\r\n" + text).getBytes());
-        out.flush();
-        if (mode == Mode.UNFRAMED_RESET) {
-            awaitResume();
-            s.setSoLinger(true, 0);
-        }
-        return false;
+    /** How long an execution takes, with as many at once as the heartbeats say. */
+    public void executionMs(int durationMs) {
+        executionMs = durationMs;
     }
 
-    private boolean answerEarly(InputStream in, OutputStream out, String a, String head, int length)
-            throws IOException {
-        runs.computeIfAbsent(a, k -> new AtomicInteger()).incrementAndGet();
-        out.write((head(a) + "Content-Length: 5\r\n\r\nearly").getBytes());
-        out.flush();
-        tell("halted " + a);
-        awaitResume();
-        heads.put(a, head + " " + new String(in.readNBytes(length), StandardCharsets.UTF_8));
-        tell("read " + a);
-        return true;
+    /** The attempts that {@link ReplicaFault#SERVER_ERROR} fails; all of them at first. */
+    public void failOnly(Predicate<String> attempts) {
+        failing = attempts;
     }
 
-    private void awaitResume() {
-        try {
-            resume.await(20, TimeUnit.SECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    /** Lets go on what is halted by PAUSE, EARLY_RESPONSE and UNFRAMED_RESET, and all later. */
+    public void resume() {
+        resumed.countDown();
     }
 
-    /** Says nothing more and keeps the connection, as a machine behind a silent cut does. */
-    private boolean stall(InputStream in, String a) throws IOException {
-        stalled.add(a);
-        tell("halted " + a);
-        try {
-            in.read();
-        } finally {
-            tell("left " + a);
-        }
-        return false;
+    /** What comes to a halt from now on waits for the next {@link #resume}. */
+    public void haltAgain() {
+        resumed = new CountDownLatch(1);
     }
 
-    private void flood(OutputStream out, String a) throws IOException {
-        var e = "data: " + "x".repeat(4000) + "\n\n";
-        tell("halted " + a);
-        try {
-            for (var i = 1; i < 1_000_000; i++) {
-                out.write((Integer.toHexString(e.length()) + "\r\n" + e + "\r\n").getBytes());
-                out.flush();
-            }
-        } finally {
-            tell("left " + a);
-        }
+    // ---- what a test sees
+
+    /** How often this attempt was executed. */
+    public int executions(String attempt) {
+        return requests.executions(attempt);
     }
 
-    private void work() {
-        places.acquireUninterruptibly();
-        try {
-            Thread.sleep(workMs);
-            busyMs.add(workMs);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } finally {
-            places.release();
-        }
+    /** How many executions there were of attempts whose id starts so. */
+    public int executionsOf(String prefix) {
+        return requests.executionsOf(prefix);
     }
 
-    private boolean unframedStream(Socket s, InputStream in, OutputStream out, String a)
-            throws IOException {
-        var b = new StringBuilder();
-        for (var i = 1; i <= (mode == Mode.UNFRAMED ? 8 : 4); i++) {
-            b.append("id: ").append(i).append("\ndata: piece ").append(i).append("\n\n");
-        }
-        return unframed(s, in, out, head(a) + "Content-Type: text/event-stream\r\n", b.toString());
+    /** All executions of all attempts. */
+    public int totalExecutions() {
+        return requests.executionsOf("");
     }
 
-    private boolean stream(Socket s, InputStream in, OutputStream out, String a, int from)
-            throws IOException {
-        if (mode == Mode.UNFRAMED || mode == Mode.UNFRAMED_RESET) {
-            return unframedStream(s, in, out, a);
-        }
-        out.write(
-                (head(a) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
-                        .getBytes());
-        if (mode == Mode.FLOOD) {
-            flood(out, a);
-        }
-        for (var i = from + 1; i <= 8; i++) {
-            var e = "id: " + i + "\ndata: piece " + i + "\n\n";
-            if (mode == Mode.PAUSE && i == 4) {
-                tell("halted " + a);
-                awaitResume();
-            }
-            if (mode == Mode.STALL && i == 4) {
-                return stall(in, a);
-            }
-            if (mode == Mode.CUT_STREAM && i == 4) {
-                out.write(
-                        (Integer.toHexString(e.length()) + "\r\n" + e.substring(0, 5)).getBytes());
-                out.flush();
-                return false;
-            }
-            out.write((Integer.toHexString(e.length()) + "\r\n" + e + "\r\n").getBytes());
-            out.flush();
-        }
-        out.write("0\r\n\r\n".getBytes());
-        out.flush();
-        return true;
+    /** How many attempts whose id starts so were executed. */
+    public int attempts(String prefix) {
+        return requests.attempts(prefix);
+    }
+
+    /** Every request that arrived with this attempt id, in order. */
+    public List<ReplicaRequest> received(String attempt) {
+        return requests.received(attempt);
     }
 
-    public String beat(String state, int warmLeftMs) {
+    /** Start line, fields and body of this attempt; empty where it was not executed. */
+    public String requestText(String attempt) {
+        return requests.text(attempt);
+    }
+
+    /** Attempts that have come to a halt here for good. */
+    public Set<String> stalled() {
+        return requests.stalled();
+    }
+
+    /** When, by nanoTime, this attempt came to a halt here. */
+    public CompletableFuture<Long> halted(String attempt) {
+        return requests.signal("halted " + attempt);
+    }
+
+    /** When, by nanoTime, the connection of this halted attempt ended. */
+    public CompletableFuture<Long> left(String attempt) {
+        return requests.signal("left " + attempt);
+    }
+
+    /** When, by nanoTime, the body of this attempt had been read after an early response. */
+    public CompletableFuture<Long> bodyRead(String attempt) {
+        return requests.signal("read " + attempt);
+    }
+
+    /** The time that executions took together. */
+    public long busyMs() {
+        return busyMs.sum();
+    }
+
+    /** The sequence number of the latest heartbeat. */
+    public int heartbeatSequence() {
+        return heartbeatSequence.get();
+    }
+
+    /** The body of the next heartbeat. */
+    public String nextHeartbeat(String state, int warmupLeftMs) {
         return "{\"Backend\":\""
                 + service
                 + "\",\"Address\":\""
                 + address
                 + "\",\"Zone\":\""
                 + zone
-                + "\",\"Revision\":\"v1\",\"Capacity\":8,\"State\":\""
+                + "\",\"Revision\":\"v1\",\"Capacity\":"
+                + CAPACITY
+                + ",\"State\":\""
                 + state
                 + "\",\"WarmupLeftMs\":"
-                + warmLeftMs
+                + warmupLeftMs
                 + ",\"Sequence\":"
-                + seq.incrementAndGet()
+                + heartbeatSequence.incrementAndGet()
                 + "}";
     }
 
+    // ---- for its connections
+
+    boolean isFailing(String attempt) {
+        return failing.test(attempt);
+    }
+
+    void awaitResumed() {
+        try {
+            resumed.await(RESUME_TIMEOUT_S, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Takes as long as an execution is set to take. */
+    void occupy() {
+        var durationMs = executionMs;
+        if (durationMs == 0) {
+            return;
+        }
+        capacity.acquireUninterruptibly();
+        try {
+            Thread.sleep(durationMs);
+            busyMs.add(durationMs);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } finally {
+            capacity.release();
+        }
+    }
+
     @Override
     public void close() throws IOException {
-        door.close();
-        open.forEach(
-                s -> {
-                    try {
-                        s.close();
-                    } catch (IOException e) {
-                        return;
-                    }
-                });
-        hands.shutdownNow();
+        server.close();
+        connections.forEach(StandInReplica::closeQuietly);
+        threads.shutdownNow();
+    }
+
+    private static void closeQuietly(Socket socket) {
+        try {
+            socket.close();
+        } catch (IOException e) {
+            return;
+        }
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/TestCluster.java
@@ -1,596 +1,378 @@
 package martenloom.launcher.harness;
 
-import io.activej.eventloop.Eventloop;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentSkipListMap;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.Executors;
-import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
+import java.util.regex.Pattern;
 import martenloom.autoscaler.ScalingSettings;
-import martenloom.common.clock.Clocks;
-import martenloom.common.error.StorageException;
 import martenloom.common.settings.Settings;
 import martenloom.common.settings.SettingsFile;
 import martenloom.core.CoreDaemon;
-import martenloom.core.storage.FileSystemFolder;
-import martenloom.core.storage.StorageFolder;
 import martenloom.edge.EdgeDaemon;
 import martenloom.shell.Shell;
 
 /**
- * Whole programs over loopback: core daemons and edges, each on a reactor of its own and at a
+ * Whole daemons over loopback: core daemons and edges, each on a reactor of its own and at a
  * loopback address of its own, with stand-in replicas. Waiting is for signals: an edge's readiness,
- * an answer, a state that a query shows.
+ * a response, a state that a shell query shows. Thread-safe, but for starting and killing the same
+ * daemon at once.
  */
 public final class TestCluster implements Closeable {
-    private static final int PORT = PortBlock.port(17720);
-    private static final int CUT_OFF_PORT = PortBlock.port(17820);
-    private static final int CONTROL = PortBlock.port(18166);
-    private static final int FRONT = PortBlock.port(18161);
-    public static final int READY = PortBlock.port(18167);
-    private static final List<String> ZONES = List.of("north-a", "south-b", "west-c");
-
-    private final Path dir;
-    private final int net;
-    private final List<String> seeds;
-    private final Map<String, Eventloop> loops = new ConcurrentSkipListMap<>();
-    private final Map<String, Thread> threads = new ConcurrentSkipListMap<>();
-    private final Map<String, Disk> disks = new ConcurrentHashMap<>();
-    private final Map<Integer, Settings> edgeSettings = new ConcurrentHashMap<>();
-    private final Map<String, CoreDaemon> cores = new ConcurrentHashMap<>();
-    private final Map<String, EdgeDaemon> edges = new TreeMap<>();
-    public final List<StandInReplica> replicas = new ArrayList<>();
-    private final ScheduledExecutorService beats =
-            Executors.newScheduledThreadPool(
-                    2,
-                    r -> {
-                        var t = new Thread(r, "beats");
-                        t.setDaemon(true);
-                        return t;
-                    });
-    private final Set<String> mute = ConcurrentHashMap.newKeySet();
-    public final Map<String, Integer> warmLeft = new ConcurrentHashMap<>();
-
-    private ScalingSettings scaling = ScalingSettings.DEFAULT;
+    private static final long QUERY_TIMEOUT_NS = 25_000_000_000L;
+    private static final long READY_TIMEOUT_S = 30;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final Pattern VIEW =
+            Pattern.compile("chain \\[([^]]*)\\].*\\nroster \\[([^]]*)\\]");
+
+    private final ClusterLayout layout;
+    private final ClusterSettings settings;
+    private final ScalingSettings scaling;
+    private final ControlPlaneClient control;
+    private final ReplicaHeartbeats heartbeats = new ReplicaHeartbeats(this::runningCores);
+    private final List<StandInReplica> replicas = new CopyOnWriteArrayList<>();
+    private final Set<Integer> fullDisks = ConcurrentHashMap.newKeySet();
+
+    /** What runs, by address, in the order of addresses. */
+    private final Map<String, ReactorThread> reactors = new ConcurrentSkipListMap<>();
+
+    private final Map<String, DetachableDisk> disks = new ConcurrentHashMap<>();
     private final Map<String, CountDownLatch> frozen = new ConcurrentHashMap<>();
+    private final Map<Integer, CoreDaemon> cores = new ConcurrentHashMap<>();
+    private final Map<Integer, EdgeDaemon> edges = new ConcurrentHashMap<>();
+    private final Map<Integer, Settings> edgeSettings = new ConcurrentHashMap<>();
 
-    /** Core daemons whose disk refuses every write. */
-    public final Set<Integer> fullDisks = ConcurrentHashMap.newKeySet();
+    TestCluster(Path dir, int network, int coreCount, ScalingSettings scaling) {
+        layout = new ClusterLayout(network);
+        settings = new ClusterSettings(layout, dir, coreCount);
+        this.scaling = scaling;
+        control = new ControlPlaneClient(layout, () -> runningCores().size());
+        for (var i = 0; i < coreCount; i++) {
+            startCore(i, true);
+        }
+    }
 
-    public TestCluster scaling(String words) {
-        scaling = ScalingSettings.parse(words);
-        return this;
+    /** Begins to describe a cluster whose daemons keep their files in this folder. */
+    public static TestClusterBuilder in(Path dir) {
+        return new TestClusterBuilder(dir);
     }
 
-    /** A program that says nothing any more while its sockets stay open, as behind a silent cut. */
-    public void freeze(String ip) {
-        var l = new CountDownLatch(1);
-        frozen.put(ip, l);
-        var stopped = new CompletableFuture<Boolean>();
-        loops.get(ip)
-                .execute(
-                        () -> {
-                            stopped.complete(true);
-                            try {
-                                l.await();
-                            } catch (InterruptedException e) {
-                                Thread.currentThread().interrupt();
-                            }
-                        });
-        stopped.join();
+    // ---- addresses
+
+    public String core(int number) {
+        return layout.core(number);
     }
 
-    public void thaw(String ip) {
-        frozen.remove(ip).countDown();
+    public String edge(int number) {
+        return layout.edge(number);
     }
 
-    /**
-     * The disk of one life of a core daemon: once that life is killed, nothing of it writes on,
-     * whatever was under way.
-     */
-    private static final class Disk {
-        private final StorageFolder real;
-        private boolean out;
+    /** Where clients reach an edge. */
+    public String front(int edge) {
+        return edge(edge) + ":" + ClusterLayout.FRONT_PORT;
+    }
 
-        Disk(String path) {
-            real = new FileSystemFolder(path);
-        }
+    private Collection<String> runningCores() {
+        return reactors.keySet().stream().filter(layout::isCore).toList();
+    }
 
-        synchronized void pull() {
-            out = true;
-        }
+    // ---- core daemons
 
-        private synchronized Optional<Object> call(java.lang.reflect.Method m, Object[] a)
-                throws Throwable {
-            try {
-                return out ? Optional.empty() : Optional.of(Optional.ofNullable(m.invoke(real, a)));
-            } catch (java.lang.reflect.InvocationTargetException e) {
-                throw e.getCause();
-            }
-        }
+    /** Starts a core daemon again, or one more, on the files that its folder has. */
+    public void startCore(int number) {
+        startCore(number, false);
+    }
 
-        Object use(java.lang.reflect.Method m, Object[] a) throws Throwable {
-            var r = call(m, a);
-            if (r.isEmpty()) {
-                new CountDownLatch(1).await();
-            }
-            return ((Optional<?>) r.orElseThrow()).orElse(null);
-        }
+    private void startCore(int number, boolean bootstrap) {
+        startCore(number, settings.core(number, bootstrap, ClusterLayout.INTERNAL_PORT));
     }
 
-    private StorageFolder folder(int i, String path) {
-        var d = new Disk(path);
-        disks.put(core(i), d);
-        return (StorageFolder)
-                java.lang.reflect.Proxy.newProxyInstance(
-                        StorageFolder.class.getClassLoader(),
-                        new Class<?>[] {StorageFolder.class},
-                        (x, m, a) -> {
-                            if (m.getName().equals("writeSynced") && fullDisks.contains(i)) {
-                                throw new StorageException("write", "no space left");
-                            }
-                            return d.use(m, a);
-                        });
+    /**
+     * Starts a core daemon that is partitioned from every other daemon, both ways, because its
+     * internal port is not theirs; replicas and the operator still reach it.
+     */
+    public void startPartitionedCore(int number) {
+        startCore(number, settings.core(number, false, ClusterLayout.PARTITIONED_PORT));
+    }
+
+    private void startCore(int number, String settingsText) {
+        var parsed = SettingsFile.parse(settingsText);
+        var disk =
+                new DetachableDisk(
+                        settings.coreDirectory(number).toString(),
+                        () -> fullDisks.contains(number));
+        disks.put(core(number), disk);
+        var reactor = ReactorThread.start(core(number));
+        cores.put(
+                number,
+                reactor.call(
+                        () -> {
+                            var daemon = new CoreDaemon(parsed, reactor.reactor(), disk.asFolder());
+                            daemon.start();
+                            return daemon;
+                        }));
+        reactors.put(core(number), reactor);
     }
 
-    public TestCluster(Path dir, int net, int cores) {
-        this.dir = dir;
-        this.net = net;
-        seeds =
-                IntStream.range(0, Math.min(3, cores))
-                        .mapToObj(i -> core(i) + ":" + CONTROL)
-                        .toList();
-        for (var i = 0; i < cores; i++) {
-            startCore(i, true);
-        }
-        beats.scheduleWithFixedDelay(this::beatAll, 0, 300, TimeUnit.MILLISECONDS);
-    }
-
-    public String core(int i) {
-        return "127." + net + ".1." + (10 + i);
-    }
-
-    public String edge(int i) {
-        return "127." + net + ".2." + (10 + i);
-    }
-
-    public String control(int i) {
-        return core(i) + ":" + CONTROL;
-    }
-
-    public String front(int i) {
-        return edge(i) + ":" + FRONT;
-    }
-
-    private Settings settings(String ip, int i, String role, boolean bootstrap) {
-        return settings(ip, i, role, bootstrap, PORT);
-    }
-
-    private Settings settings(String ip, int i, String role, boolean bootstrap, int port) {
-        return SettingsFile.parse(settingsText(ip, i, role, bootstrap, port));
-    }
-
-    private String settingsText(String ip, int i, String role, boolean bootstrap, int port) {
-        var zone = ZONES.get(i % 3);
-        var l =
-                role.equals("core")
-                        ? "ControlPlane = \"" + ip + ":" + CONTROL + "\"\n"
-                        : "Frontend = \""
-                                + ip
-                                + ":"
-                                + FRONT
-                                + "\"\nReadiness = \""
-                                + ip
-                                + ":"
-                                + READY
-                                + "\"\n";
-        return "NodeName = \""
-                + role
-                + i
-                + "\"\nIpAddress = \""
-                + ip
-                + "\"\nZone = \""
-                + zone
-                + "\"\nRegion = \""
-                + zone.split("-")[0]
-                + "\"\n"
-                + "InternalPortRange = ["
-                + port
-                + ","
-                + (port + 10)
-                + "]\nSeedNodes = ["
-                + seeds.stream().map(s -> '"' + s + '"').collect(Collectors.joining(","))
-                + "]\n"
-                + "Bootstrap = "
-                + bootstrap
-                + "\nQuorumMember = "
-                + role.equals("core")
-                + "\nDataDirectory = \""
-                + dir.resolve(role + i)
-                + "\"\nHeartbeatIntervalMs = 300\n"
-                + "Serves = [\""
-                + role
-                + "\"]\n[Zones]\n"
-                + ZONES.stream()
-                        .map(h -> h + " = \"" + h.split("-")[0] + "\"\n")
-                        .collect(Collectors.joining())
-                + "[ListenAddresses]\n"
-                + l
-                + "[Limits]\n"
-                + "MaxFileDescriptors = 2000\n"
-                + "[Bounds]\n"
-                + "GracePeriodS = 5\n"
-                + "RetrySlack = 50\n"
-                + "RetryBudgetRatio = 0.2\n"
-                + "WarmupOverage = 1.0\n"
-                + "WarmupSlack = 0\n";
-    }
-
-    public void startCore(int i, boolean bootstrap) {
-        var p = settings(core(i), i, "core", bootstrap);
-        run(
-                core(i),
-                loop -> {
-                    var c = new CoreDaemon(p, loop, folder(i, p.dataDirectory()));
-                    c.start();
-                    cores.put(core(i), c);
-                });
-    }
-
-    /** As SIGTERM does: the daemon leaves, then its process ends; says whether it left in order. */
-    public boolean leaveCore(int i) {
-        var inOrder = cores.get(core(i)).shutDown();
-        kill(core(i));
+    /** As SIGTERM does: the daemon shuts down, then its process ends; says whether in order. */
+    public boolean shutDownCore(int number) {
+        var inOrder = cores.get(number).shutDown();
+        kill(core(number));
         return inOrder;
     }
 
+    /** Every write of this core daemon's disk fails until it is mended. */
+    public void fillDisk(int core) {
+        fullDisks.add(core);
+    }
+
+    /** Ends {@link #fillDisk}. */
+    public void freeDisk(int core) {
+        fullDisks.remove(core);
+    }
+
+    /** Loses the files of a core daemon that does not run. */
+    public void wipeDisk(int core) {
+        try (var files = Files.walk(settings.coreDirectory(core))) {
+            files.filter(Files::isRegularFile).forEach(file -> file.toFile().delete());
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
     /**
-     * Asks until the core daemons that are up tell of a chain and a roster of just these, and says
-     * after how long.
+     * Asks until each of these core daemons tells of a view and a roster of just these members, and
+     * says after how many milliseconds.
      */
-    public long awaitChain(int... which) {
+    public long awaitView(int... members) {
         var since = System.nanoTime();
-        var all = Arrays.stream(which).mapToObj(this::core).sorted().toList();
-        for (var i : which) {
-            var pattern =
-                    java.util.regex.Pattern.compile("chain \\[([^]]*)\\].*\\nroster \\[([^]]*)\\]");
+        var expected = Arrays.stream(members).mapToObj(this::core).sorted().toList();
+        for (var member : members) {
             var shown = "";
-            while (System.nanoTime() - since < 25_000_000_000L) {
-                shown = ask(core(i), "chain");
-                var m = pattern.matcher(shown);
-                if (m.find() && sorted(m.group(1)).equals(all) && sorted(m.group(2)).equals(all)) {
-                    shown = "";
-                    break;
-                }
+            var agreed = false;
+            while (!agreed && System.nanoTime() - since < QUERY_TIMEOUT_NS) {
+                shown = ask(core(member), "chain");
+                var view = VIEW.matcher(shown);
+                agreed =
+                        view.find()
+                                && sorted(view.group(1)).equals(expected)
+                                && sorted(view.group(2)).equals(expected);
             }
-            if (!shown.isEmpty()) {
-                throw new AssertionError("not a chain of " + all + ": " + shown);
+            if (!agreed) {
+                throw new AssertionError("not a view of " + expected + ": " + shown);
             }
         }
-        return (System.nanoTime() - since) / 1_000_000;
+        return (System.nanoTime() - since) / NS_PER_MS;
     }
 
     private static List<String> sorted(String list) {
         return Arrays.stream(list.split(", ")).sorted().toList();
     }
 
-    /**
-     * Starts a core daemon that is cut off from every other daemon, both ways, because its internal
-     * port is not theirs; replicas and the operator still reach it.
-     */
-    public void startCoreCutOff(int i) {
-        var p = settings(core(i), i, "core", false, CUT_OFF_PORT);
-        run(core(i), loop -> new CoreDaemon(p, loop, folder(i, p.dataDirectory())).start());
+    // ---- edges
+
+    /** Starts an edge, again or one more, and gives its daemon. */
+    public EdgeDaemon startEdge(int number) {
+        var parsed = SettingsFile.parse(edgeSettingsText(number));
+        edgeSettings.put(number, parsed);
+        var reactor = ReactorThread.start(edge(number));
+        var daemon =
+                reactor.call(
+                        () -> {
+                            var starting = new EdgeDaemon(parsed, reactor.reactor(), scaling);
+                            starting.start();
+                            return starting;
+                        });
+        reactors.put(edge(number), reactor);
+        edges.put(number, daemon);
+        return daemon;
+    }
+
+    public EdgeDaemon edgeDaemon(int number) {
+        return edges.get(number);
     }
 
     /** The text of an edge's settings file. */
-    public String settingsText(int edge) {
-        return settingsText(edge(edge), edge, "edge", false, PORT);
+    public String edgeSettingsText(int number) {
+        return settings.edge(number);
     }
 
     /** The settings that a started edge uses. */
-    public Settings settings(int edge) {
-        return edgeSettings.get(edge);
-    }
-
-    public EdgeDaemon startEdge(int i) {
-        var p = settings(edge(i), i, "edge", false);
-        edgeSettings.put(i, p);
-        var up = new CompletableFuture<EdgeDaemon>();
-        run(
-                edge(i),
-                loop -> {
-                    var n = new EdgeDaemon(p, loop, scaling);
-                    n.start();
-                    up.complete(n);
-                });
-        edges.put(edge(i), up.join());
-        return up.join();
-    }
-
-    @FunctionalInterface
-    private interface Start {
-        void run(Eventloop l) throws IOException;
-    }
-
-    private void run(String name, Start s) {
-        var loop = Clocks.reactor(name);
-        loop.keepAlive(true);
-        var up = new CompletableFuture<Boolean>();
-        loop.execute(
-                () -> {
-                    try {
-                        s.run(loop);
-                        up.complete(true);
-                    } catch (IOException | RuntimeException e) {
-                        up.completeExceptionally(e);
-                    }
-                });
-        var t = new Thread(loop::run, name);
-        t.setDaemon(true);
-        t.start();
-        up.join();
-        loops.put(name, loop);
-        threads.put(name, t);
+    public Settings edgeSettings(int number) {
+        return edgeSettings.get(number);
+    }
+
+    /** Returns once each of these edges is ready; fails after 30 s. */
+    public void awaitReady(int... numbers) {
+        for (var number : numbers) {
+            edges.get(number).whenReady().orTimeout(READY_TIMEOUT_S, TimeUnit.SECONDS).join();
+        }
+    }
+
+    // ---- faults of daemons
+
+    /** A daemon says nothing any more while its sockets stay open, as in a silent partition. */
+    public void freeze(String ip) {
+        frozen.put(ip, reactors.get(ip).freeze());
+    }
+
+    /** Ends {@link #freeze}. */
+    public void thaw(String ip) {
+        frozen.remove(ip).countDown();
     }
 
     /**
-     * Ends a program as a kill would: its sockets close, its thread has ended and its disk is no
+     * Ends a daemon as a kill would: its sockets close, its thread has ended and its disk is no
      * longer written.
      */
     public void kill(String ip) {
-        var loop = loops.remove(ip);
-        var down = new CompletableFuture<Boolean>();
-        loop.execute(
-                () -> {
-                    for (var k : List.copyOf(loop.getSelector().keys())) {
-                        try {
-                            k.channel().close();
-                        } catch (IOException e) {
-                            continue;
-                        }
-                    }
-                    loop.keepAlive(false);
-                    loop.breakEventloop();
-                    down.complete(true);
-                });
-        down.join();
-        try {
-            threads.remove(ip).join(10_000);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        Optional.ofNullable(disks.remove(ip)).ifPresent(Disk::pull);
+        reactors.remove(ip).stop();
+        Optional.ofNullable(disks.remove(ip)).ifPresent(DetachableDisk::detach);
     }
 
-    public void wipe(int i) {
-        try (var s = Files.walk(dir.resolve("core" + i))) {
-            s.filter(Files::isRegularFile).forEach(f -> f.toFile().delete());
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+    // ---- replicas
+
+    /** All replicas in the order in which they were added. */
+    public List<StandInReplica> replicas() {
+        return replicas;
     }
 
-    public StandInReplica replica(String id, String service, int zone) {
+    /** The replica with this id. */
+    public StandInReplica replica(String id) {
+        return replicas.stream().filter(each -> each.id().equals(id)).findFirst().orElseThrow();
+    }
+
+    /** Adds a replica while the cluster runs. */
+    public StandInReplica addReplica(String id, String service, int zone) {
+        return addReplica(id, service, zone, 0);
+    }
+
+    StandInReplica addReplica(String id, String service, int zone, int warmupMs) {
         try {
-            var r =
+            var replica =
                     new StandInReplica(
-                            id,
-                            service,
-                            ZONES.get(zone),
-                            "127." + net + ".3." + (10 + replicas.size()));
-            replicas.add(r);
-            return r;
+                            id, service, ClusterLayout.zone(zone), layout.replica(replicas.size()));
+            replicas.add(replica);
+            heartbeats.add(replica, warmupMs);
+            return replica;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void beatAll() {
-        for (var r : List.copyOf(replicas)) {
-            if (!mute.contains(r.id)) {
-                beat(r, "ready", warmLeft.getOrDefault(r.id, 0));
-            }
-        }
+    /** From now on every replica has this fault. */
+    public void faultOfAll(ReplicaFault fault) {
+        replicas.forEach(replica -> replica.fault(fault));
     }
 
-    public void mute(StandInReplica r) {
-        mute.add(r.id);
+    /** How often an attempt was executed by all replicas together. */
+    public int executions(String attempt) {
+        return replicas.stream().mapToInt(replica -> replica.executions(attempt)).sum();
     }
 
-    public void unmute(StandInReplica r) {
-        mute.remove(r.id);
+    void startHeartbeats() {
+        heartbeats.start();
     }
 
-    public int beat(StandInReplica r, String state, int warmLeftMs) {
-        for (var ip : List.copyOf(loops.keySet())) {
-            if (ip.contains(".1.")) {
-                var x =
-                        TestHttpClient.call(
-                                ip + ":" + CONTROL,
-                                "POST /instances/"
-                                        + r.id
-                                        + "/heartbeat HTTP/1.1\r\nHost: c\r\nConnection: close\r\n",
-                                r.beat(state, warmLeftMs));
-                if (x.status == 200) {
-                    return 200;
-                }
-            }
-        }
-        return 0;
+    public void stopHeartbeats(StandInReplica replica) {
+        heartbeats.stop(replica);
     }
 
-    public TestHttpClient.Reply operator(int core, String call, String base, String body) {
-        return TestHttpClient.call(
-                control(core),
-                call
-                        + " HTTP/1.1\r\nHost: c\r\nConnection: close\r\n"
-                        + (base.isEmpty() ? "" : "X-Base-Revision: " + base + "\r\n"),
-                body);
+    public void resumeHeartbeats(StandInReplica replica) {
+        heartbeats.resume(replica);
     }
 
-    /**
-     * As the operator does: the same order again, at one daemon after another, until there is a
-     * clear answer.
-     */
-    public int order(String call, String base, String body) {
-        for (var i = 0; i < 200; i++) {
-            var r =
-                    operator(
-                            i
-                                    % Math.max(
-                                            1,
-                                            (int)
-                                                    loops.keySet().stream()
-                                                            .filter(x -> x.contains(".1."))
-                                                            .count()),
-                            call,
-                            base,
-                            body);
-            if (r.status == 200 || r.status / 100 == 4) {
-                return r.status;
-            }
-        }
-        return 0;
+    /** Sends one heartbeat now; gives 200 once a core daemon took it, otherwise 0. */
+    public int sendHeartbeat(StandInReplica replica, String state) {
+        return heartbeats.send(replica, state, 0);
     }
 
-    public void awaitReady(int... which) {
-        for (var i : which) {
-            edges.get(edge(i)).whenReady().orTimeout(30, TimeUnit.SECONDS).join();
-        }
+    // ---- clients, the operator and the shell
+
+    public ControlPlaneClient control() {
+        return control;
     }
 
-    public TestHttpClient.Reply request(
-            int edge, String path, String attempt, String more, String body) {
-        return TestHttpClient.call(
-                front(edge),
-                "POST "
-                        + path
-                        + " HTTP/1.1\r\nHost: cluster.example\r\nX-Attempt-Id: "
-                        + attempt
-                        + "\r\nX-Time-Remaining: 8000\r\nConnection: close\r\n"
-                        + more,
-                body);
+    /** Sends a request to an edge; more header fields may be added, each with its line end. */
+    public HttpReply request(int edge, String path, String attempt, String more, String body) {
+        var head = TestHttpClient.edgeHead(path, attempt) + "Connection: close\r\n" + more;
+        return TestHttpClient.call(front(edge), head, body);
     }
 
-    /**
-     * What the platform's own question about readiness gets from an edge; 0 where nobody answers.
-     */
+    /** Sends a request without a body to an edge. */
+    public HttpReply request(int edge, String path, String attempt) {
+        return request(edge, path, attempt, "", "");
+    }
+
+    /** Sends a small prompt to an edge. */
+    public HttpReply prompt(int edge, String path, String attempt) {
+        return request(edge, path, attempt, Prompts.SMALL, "p");
+    }
+
+    /** The status that the platform's readiness check gets from an edge; 0 for no answer. */
     public int readiness(int edge) {
         return TestHttpClient.call(
-                        edge(edge) + ":" + READY,
+                        edge(edge) + ":" + ClusterLayout.READINESS_PORT,
                         "GET /readyz HTTP/1.1\r\nHost: c\r\nConnection: close\r\n",
                         "")
-                .status;
+                .status();
     }
 
+    /** The answer of the daemon at this address to a query of the shell. */
     public String ask(String ip, String query) {
-        return Shell.ask(new InetSocketAddress(ip, PORT), query);
+        return Shell.ask(new InetSocketAddress(ip, ClusterLayout.INTERNAL_PORT), query);
     }
 
-    /** Asks until the answer shows what is looked for; gives up after many asks. */
+    /** Asks until the answer contains what is sought, or for 25 s; gives the last answer. */
     public String askUntil(String ip, String query, String sought) {
-        return askUntil(ip, query, a -> a.contains(sought));
+        return askUntil(ip, query, answer -> answer.contains(sought));
     }
 
+    /** Asks until the answer is as sought, or for 25 s; gives the last answer. */
     public String askUntil(String ip, String query, Predicate<String> sought) {
-        var end = System.nanoTime() + 25_000_000_000L;
-        var a = ask(ip, query);
-        while (!sought.test(a) && System.nanoTime() < end) {
-            a = ask(ip, query);
+        var end = System.nanoTime() + QUERY_TIMEOUT_NS;
+        var answer = ask(ip, query);
+        while (!sought.test(answer) && System.nanoTime() < end) {
+            answer = ask(ip, query);
         }
-        return a;
-    }
-
-    public static String configuration(int rev, String extraRoutes) {
-        return "{\"Revision\":"
-                + rev
-                + ",\"Routes\":["
-                + route("safe", "/safe/", "idempotent", "plain", 3, false, "")
-                + ","
-                + route("once", "/once/", "non_idempotent", "plain", 1, false, "")
-                + ","
-                + route("streamr", "/r/", "streaming", "model", 2, true, "")
-                + ","
-                + route("streamo", "/o/", "streaming", "model", 1, false, "")
-                + ","
-                + route("home", "/home/", "idempotent", "plain", 2, false, "\"north\"")
-                + extraRoutes
-                + "],\"Backends\":[{\"Name\":\"plain\",\"HealthPath\":\"/h\",\"MaxConnections\":60,\"WarmupS\":0,\"WarmupPerS\":0},"
-                + "{\"Name\":\"model\",\"HealthPath\":\"/h\",\"MaxConnections\":60,\"WarmupS\":1.0,\"WarmupPerS\":8.0,\"InferenceEngine\":{\"Capacity\":8,\"CacheTokens\":100000,\"StepSize\":5,"
-                + "\"Models\":[{\"Name\":\"m\"}]}}],\"Limits\":{\"MaxHeaderBytes\":8192,\"MaxBodyBytes\":100000,\"HeaderTimeoutMs\":3000,\"IdleTimeoutMs\":15000}}";
-    }
-
-    public static String route(
-            String name,
-            String prefix,
-            String kind,
-            String service,
-            int tries,
-            boolean resumable,
-            String regions) {
-        return route(name, prefix, kind, service, tries, resumable, regions, 8000);
-    }
-
-    public static String route(
-            String name,
-            String prefix,
-            String kind,
-            String service,
-            int tries,
-            boolean resumable,
-            String regions,
-            int timeoutMs) {
-        return "{\"Name\":\""
-                + name
-                + "\",\"Hostname\":\"cluster.example\",\"PathPrefix\":\""
-                + prefix
-                + "\",\"RouteType\":\""
-                + kind
-                + "\",\"TimeoutMs\":"
-                + timeoutMs
-                + ",\"TargetLatencyMs\":2000,"
-                + "\"Priority\":0,\"Backend\":\""
-                + service
-                + "\",\"MaxAttempts\":"
-                + tries
-                + ",\"SessionAffinity\":false,\"Resumable\":"
-                + resumable
-                + ",\"TargetGapMs\":800,\"AllowedRegions\":["
-                + regions
-                + "]}";
+        return answer;
+    }
+
+    /** Asks as {@link #askUntil} does and fails where the answer never contains it. */
+    public String assertShown(String ip, String query, String sought) {
+        var answer = askUntil(ip, query, sought);
+        if (!answer.contains(sought)) {
+            throw new AssertionError(
+                    ip + " does not show '" + sought + "' in '" + query + "': " + answer);
+        }
+        return answer;
     }
 
     @Override
     public void close() {
-        beats.shutdownNow();
+        heartbeats.close();
         frozen.values().forEach(CountDownLatch::countDown);
-        List.copyOf(loops.keySet()).forEach(this::kill);
-        replicas.forEach(
-                r -> {
-                    try {
-                        r.close();
-                    } catch (IOException e) {
-                        throw new UncheckedIOException(e);
-                    }
-                });
+        List.copyOf(reactors.keySet()).forEach(this::kill);
+        for (var replica : replicas) {
+            try {
+                replica.close();
+            } catch (IOException e) {
+                throw new UncheckedIOException(e);
+            }
+        }
     }
 }
--- a/launcher/src/test/java/martenloom/launcher/harness/TestHttpClient.java
+++ b/launcher/src/test/java/martenloom/launcher/harness/TestHttpClient.java
@@ -7,120 +7,137 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import java.util.Map;
 import java.util.TreeMap;
 
-/** A client's side for tests: one exchange on a connection of its own, read strictly to its end. */
+/**
+ * A client of tests: one exchange on a connection of its own, read strictly by the framing rules to
+ * its end. Stateless and thread-safe; the calling thread blocks.
+ */
 public final class TestHttpClient {
-    private TestHttpClient() {}
+    private static final int CONNECT_TIMEOUT_MS = 3_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
+    private static final String STATUS_LINE_START = "HTTP/1.1 ";
+    private static final int STATUS_LINE_BYTES = STATUS_LINE_START.length() + "200".length();
+    private static final int HEXADECIMAL = 16;
 
-    /** A response as it was read: status, fields and body. */
-    public static final class Reply {
-        public int status;
-        public final Map<String, String> fields = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        public String body = "";
-        public boolean whole;
-    }
+    private TestHttpClient() {}
 
-    public static Reply call(String at, String head, String body) {
-        var i = at.lastIndexOf(':');
-        try (var s = new Socket()) {
-            s.connect(
-                    new InetSocketAddress(
-                            at.substring(0, i), Integer.parseInt(at.substring(i + 1))),
-                    3000);
-            s.setSoTimeout(20_000);
-            var b = body.getBytes(StandardCharsets.UTF_8);
-            var h =
-                    head
-                            + (b.length > 0 || head.startsWith("POST")
-                                    ? "Content-Length: " + b.length + "\r\n"
-                                    : "")
-                            + "\r\n";
-            s.getOutputStream().write(h.getBytes(StandardCharsets.ISO_8859_1));
-            s.getOutputStream().write(b);
-            s.getOutputStream().flush();
-            return read(new BufferedInputStream(s.getInputStream()));
+    /**
+     * Sends a request and reads the response.
+     *
+     * @param address host and port
+     * @param head start line and header fields, each with its line end, without a length
+     * @return the response, or {@link HttpReply#NONE} where the connection failed
+     */
+    public static HttpReply call(String address, String head, String body) {
+        try (var socket = open(address)) {
+            var content = body.getBytes(StandardCharsets.UTF_8);
+            var length =
+                    content.length > 0 || head.startsWith("POST")
+                            ? "Content-Length: " + content.length + "\r\n"
+                            : "";
+            var out = socket.getOutputStream();
+            out.write((head + length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            out.write(content);
+            out.flush();
+            return read(new BufferedInputStream(socket.getInputStream()));
         } catch (IOException e) {
-            return new Reply();
+            return HttpReply.NONE;
         }
     }
 
-    /** A connection on which a test says and reads what it likes. */
-    public static Socket open(String at) throws IOException {
-        var i = at.lastIndexOf(':');
-        var s = new Socket();
-        s.connect(
-                new InetSocketAddress(at.substring(0, i), Integer.parseInt(at.substring(i + 1))),
-                3000);
-        s.setSoTimeout(20_000);
-        return s;
+    /** A connection on which a test writes and reads bytes of its own. */
+    public static Socket open(String address) throws IOException {
+        var colon = address.lastIndexOf(':');
+        var socket = new Socket();
+        socket.connect(
+                new InetSocketAddress(
+                        address.substring(0, colon),
+                        Integer.parseInt(address.substring(colon + 1))),
+                CONNECT_TIMEOUT_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
+        return socket;
     }
 
-    /** A whole request as a client sends it. */
+    /** A complete request as a client sends it to an edge. */
     public static byte[] request(String path, String attempt, String more, String body) {
-        return ("POST "
-                        + path
-                        + " HTTP/1.1\r\nHost: cluster.example\r\nX-Attempt-Id: "
-                        + attempt
-                        + "\r\nX-Time-Remaining: 8000\r\n"
-                        + more
-                        + "Content-Length: "
-                        + body.length()
-                        + "\r\n\r\n"
-                        + body)
-                .getBytes(StandardCharsets.ISO_8859_1);
+        var head = edgeHead(path, attempt) + more + "Content-Length: " + body.length() + "\r\n\r\n";
+        return (head + body).getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    public static Reply read(InputStream in) throws IOException {
-        var r = new Reply();
-        var l = line(in);
-        if (l.length() < 12) {
-            return r;
-        }
-        r.status = Integer.parseInt(l.substring(9, 12));
-        for (l = line(in); !l.isEmpty(); l = line(in)) {
-            var c = l.indexOf(':');
-            r.fields.put(l.substring(0, c), l.substring(c + 1).strip());
+    /** Start line and common header fields of a request to an edge. */
+    static String edgeHead(String path, String attempt) {
+        return "POST "
+                + path
+                + " HTTP/1.1\r\nHost: cluster.example\r\nX-Attempt-Id: "
+                + attempt
+                + "\r\nX-Time-Remaining: 8000\r\n";
+    }
+
+    /** Reads one response. */
+    public static HttpReply read(InputStream in) throws IOException {
+        var statusLine = line(in);
+        if (statusLine.length() < STATUS_LINE_BYTES) {
+            return HttpReply.NONE;
         }
-        var out = new ByteArrayOutputStream();
-        if (r.fields.containsKey("Transfer-Encoding")) {
-            r.whole = chunks(in, out);
-        } else {
-            var n = Integer.parseInt(r.fields.getOrDefault("Content-Length", "0"));
-            out.write(in.readNBytes(n));
-            r.whole = out.size() == n;
+        var status =
+                Integer.parseInt(
+                        statusLine.substring(STATUS_LINE_START.length(), STATUS_LINE_BYTES));
+        var fields = fields(in);
+        var body = new ByteArrayOutputStream();
+        var complete =
+                fields.containsKey("Transfer-Encoding")
+                        ? readChunks(in, body)
+                        : readExactly(
+                                in,
+                                body,
+                                Integer.parseInt(fields.getOrDefault("Content-Length", "0")));
+        return new HttpReply(status, fields, body.toString(StandardCharsets.UTF_8), complete);
+    }
+
+    /** Reads header fields up to the empty line; names compare in any case. */
+    static TreeMap<String, String> fields(InputStream in) throws IOException {
+        var fields = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
+        for (var line = line(in); !line.isEmpty(); line = line(in)) {
+            var colon = line.indexOf(':');
+            fields.put(line.substring(0, colon), line.substring(colon + 1).strip());
         }
-        r.body = out.toString(StandardCharsets.UTF_8);
-        return r;
+        return fields;
+    }
+
+    private static boolean readExactly(InputStream in, ByteArrayOutputStream out, int length)
+            throws IOException {
+        var bytes = in.readNBytes(length);
+        out.write(bytes);
+        return bytes.length == length;
     }
 
-    private static boolean chunks(InputStream in, ByteArrayOutputStream out) throws IOException {
+    private static boolean readChunks(InputStream in, ByteArrayOutputStream out)
+            throws IOException {
         while (true) {
-            var l = line(in);
-            if (l.isEmpty()) {
+            var line = line(in);
+            if (line.isEmpty()) {
                 return false;
             }
-            var n = Integer.parseInt(l, 16);
-            var b = in.readNBytes(n);
-            out.write(b);
-            if (b.length < n) {
+            var length = Integer.parseInt(line, HEXADECIMAL);
+            if (!readExactly(in, out, length)) {
                 return false;
             }
             line(in);
-            if (n == 0) {
+            if (length == 0) {
                 return true;
             }
         }
     }
 
+    /** The next line without its end; empty at the end of the stream. */
     static String line(InputStream in) throws IOException {
-        var b = new StringBuilder();
-        for (var c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
-            if (c != '\r') {
-                b.append((char) c);
+        var line = new StringBuilder();
+        for (var next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
+            if (next != '\r') {
+                line.append((char) next);
             }
         }
-        return b.toString();
+        return line.toString();
     }
 }
