--- a/launcher/src/test/java/martenloom/launcher/rig/RigTest.java
+++ b/launcher/src/test/java/martenloom/launcher/rig/RigTest.java
@@ -3,30 +3,35 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
 /** The rig at a small size counts everybody, and says what is wrong with its arguments. */
 final class RigTest {
+    private static final int NETWORK = 96;
+    private static final RigSize SMALL = new RigSize(6, 3, 20, 3, 3, 2, 10, 1, 2, 400, 2);
+
     @Test
-    void aSmallRunCountsEverybody() throws Exception {
-        var s = Rig.measure(new Rig.Size(6, 3, 20, 3, 3, 2, 10, 1, 2, 400, 2), 96);
-        assertEquals(8, s.readyEdges, "six and two that joined while it was looked at");
-        assertEquals(20, s.replicasKnown);
-        assertEquals(8, s.edgesHeard);
+    void aSmallRunCountsEverybody() throws IOException, InterruptedException {
+        var result = Rig.measure(SMALL, NETWORK);
+        var reach = result.reach();
+        assertEquals(8, reach.readyEdges(), "six and two that joined while it was measured");
+        assertEquals(20, reach.replicasKnown());
+        assertEquals(8, reach.edgesHeard());
         assertTrue(
-                s.changeMs.size() >= 4,
+                result.changeMs().size() >= 4,
                 "two at the pace of 400 ms in a second, or three, and two afterwards");
         assertTrue(
-                s.coreRecords > 0
-                        && s.edgeRecords > 0
-                        && s.coreBytes > 0
-                        && s.edgeBytes > 0
-                        && s.heapMb > 0);
+                result.core().records() > 0
+                        && result.edge().records() > 0
+                        && result.core().bytes() > 0
+                        && result.edge().bytes() > 0
+                        && result.heapMb() > 0);
     }
 
     @Test
-    void badArgumentsEndWithOneLineAndTwo() {
-        for (var a :
+    void badArgumentsEndWithOneLineAndTheUsageExitCode() {
+        for (var arguments :
                 new String[][] {
                     {},
                     {"--edges", "x"},
@@ -38,7 +43,7 @@
                     {"--edges", "4", "--joins", "101"},
                     {"--edges", "4", "--repeats", "0"}
                 }) {
-            assertEquals(2, Rig.run(a));
+            assertEquals(2, Rig.run(arguments));
         }
     }
 }
