--- a/core/src/main/java/martenloom/core/driver/ChainMemberFactory.java
+++ b/core/src/main/java/martenloom/core/driver/ChainMemberFactory.java
@@ -28,6 +28,8 @@
     }
 
     /**
+     * The member with what its disk holds, or with the state of a founder.
+     *
      * @param onDisk the version that the store was loaded with
      */
     public ChainMember create(Optional<byte[]> onDisk) {
